--- a/src/main/java/cairnline/transport/ClientSession.java
+++ b/src/main/java/cairnline/transport/ClientSession.java
@@ -21,7 +21,7 @@
  * One client connection of the platform's protocol. Once its input has ended, or can't be used any more, it drains: nothing
  * new is taken, and the connection ends after the last open request has its answer.
  */
-final class ClientSession implements Listener.Session, Peer.Handler {
+final class ClientSession implements Listener.Session, TcpConnection.Handler {
     /** A peer that has closed both ways answers the first write by a reset, which fails the second. */
     private static final long SECOND_NOTICE_MICROS = 20_000;
     /** Within this time after the end of the input a request that was just taken may still go out. */
@@ -29,7 +29,7 @@
 
     private final SocketChannel channel;
     private final ClientFront front;
-    private final Peer peer;
+    private final TcpConnection peer;
     private final ClientFrames frames;
     private final UsedStreams usedStreams = new UsedStreams();
     private final Allowance allowance;
@@ -43,7 +43,7 @@
     ClientSession(SocketChannel channel, ClientFront front) {
         this.channel = channel;
         this.front = front;
-        this.peer = Peer.accepted(front.loop(), channel, front.limits(), this);
+        this.peer = TcpConnection.accepted(front.loop(), channel, front.limits(), this);
         this.frames = new ClientFrames(front.limits().clients().frameBytes());
         this.allowance = new Allowance(front);
     }
@@ -64,7 +64,7 @@
 
     @Override
     public void tooMany() {
-        Peer.turnAway(channel, error("too many connections"));
+        TcpConnection.turnAway(channel, error("too many connections"));
     }
 
     @Override
--- a/src/main/java/cairnline/transport/HttpConnection.java
+++ b/src/main/java/cairnline/transport/HttpConnection.java
@@ -15,7 +15,7 @@
  * One connection to an OData engine, with one attempt on it at a time. An attempt that is given up ends its connection,
  * so that no later attempt can meet its answer; nothing calls the core under this lock.
  */
-final class HttpConnection implements Peer.Handler, PooledLink.Connection {
+final class HttpConnection implements TcpConnection.Handler, PooledLink.Connection {
     private static final int FULL = 503;
     private static final int TOO_MANY = 429;
     private static final int ERRORS = 500;
@@ -25,7 +25,7 @@
     private final InetSocketAddress address;
     private final Core core;
     private final Limits limits;
-    private final Peer peer;
+    private final TcpConnection peer;
     private final HttpDecoder answers;
     private Attempt attempt;
     private boolean written;
@@ -39,7 +39,7 @@
         this.address = address;
         this.core = core;
         this.limits = limits;
-        this.peer = Peer.connecting(loop, limits, this);
+        this.peer = TcpConnection.connecting(loop, limits, this);
         this.answers = new HttpDecoder(limits.http().headBytes(), limits.http().bodyBytes());
     }
 
--- a/src/main/java/cairnline/transport/ODataSession.java
+++ b/src/main/java/cairnline/transport/ODataSession.java
@@ -17,13 +17,13 @@
  * One OData client's connection, on the event loop. Requests are served one after the other, in the order sent. Once its
  * input has ended, or can't be used any more, it ends after the answers that are owed.
  */
-final class ODataSession implements Listener.Session, Peer.Handler {
+final class ODataSession implements Listener.Session, TcpConnection.Handler {
     /** Within this time after the end of the input a request that was just taken may still go out. */
     private static final long DETACH_AFTER_MICROS = 10_000;
 
     private final ODataFront front;
     private final SocketChannel channel;
-    private final Peer peer;
+    private final TcpConnection peer;
     private final HttpDecoder requests;
     private final ArrayDeque<Arrival> waiting = new ArrayDeque<>();
     /** What the core has of this client; given up when it hangs up. */
@@ -47,7 +47,7 @@
     ODataSession(SocketChannel channel, ODataFront front) {
         this.channel = channel;
         this.front = front;
-        this.peer = Peer.accepted(front.loop(), channel, front.limits(), this);
+        this.peer = TcpConnection.accepted(front.loop(), channel, front.limits(), this);
         this.requests = new HttpDecoder(front.limits().http().headBytes(), front.limits().http().bodyBytes());
         this.allowance = new Allowance(front);
     }
@@ -73,7 +73,7 @@
 
     @Override
     public void tooMany() {
-        Peer.turnAway(channel, ODataModel.error(503, "too many connections").with("retry-after", "1")
+        TcpConnection.turnAway(channel, ODataModel.error(503, "too many connections").with("retry-after", "1")
                 .with("connection", "close").bytes());
     }
 
--- a/src/main/java/cairnline/transport/RespConnection.java
+++ b/src/main/java/cairnline/transport/RespConnection.java
@@ -27,14 +27,14 @@
  * One connection to an engine. Its maps are shared by the core's thread, the writer and the reader, under its lock;
  * the core is never called under that lock, since its mailbox may be full.
  */
-final class RespConnection implements Peer.Handler, PooledLink.Connection {
+final class RespConnection implements TcpConnection.Handler, PooledLink.Connection {
     private static final int ANSWER_PARTS = 4;
     private static final String PROBE_TAG = "probe-";
 
     private final RespLink link;
     private final Core core;
     private final Limits limits;
-    private final Peer peer;
+    private final TcpConnection peer;
     private final Resp answers;
     private final Map<String, Exchange> exchanges = new HashMap<>();
     /** Ids given up, whose answers or pages may still be on their way; the oldest give way. */
@@ -60,7 +60,7 @@
         this.link = link;
         this.core = core;
         this.limits = limits;
-        this.peer = Peer.connecting(loop, limits, this);
+        this.peer = TcpConnection.connecting(loop, limits, this);
         this.answers = new Resp(ANSWER_PARTS, limits.engines().partBytes());
         this.heardAt = loop.clock().micros();
     }
@@ -150,7 +150,7 @@
     }
 
     /** The letter that carries an attempt; one that is given up must not arrive whole later. */
-    private final class Command implements Peer.Letter {
+    private final class Command implements TcpConnection.Letter {
         private final Exchange exchange;
 
         Command(Exchange exchange) {
--- a/src/main/java/cairnline/transport/StandInEngine.java
+++ b/src/main/java/cairnline/transport/StandInEngine.java
@@ -29,13 +29,13 @@
         listener.start(Session::new);
     }
 
-    private final class Session implements Listener.Session, Peer.Handler {
-        private final Peer peer;
+    private final class Session implements Listener.Session, TcpConnection.Handler {
+        private final TcpConnection peer;
         private final HttpDecoder requests = new HttpDecoder(limits.http().headBytes(), limits.http().bodyBytes());
         private Runnable whenEnded = () -> { };
 
         Session(SocketChannel channel) {
-            peer = Peer.accepted(listener.loop(), channel, limits, this);
+            peer = TcpConnection.accepted(listener.loop(), channel, limits, this);
         }
 
         @Override
--- a/src/main/java/cairnline/transport/Peer.java
+++ b/src/main/java/cairnline/transport/TcpConnection.java
@@ -20,7 +20,7 @@
  * only leave letters; they never wait. A peer that takes nothing is not read any more once many letters wait for it, so
  * that what is held for it stays bounded.
  */
-final class Peer implements EventLoop.Handler {
+final class TcpConnection implements EventLoop.Handler {
     /** So many letters may wait before the peer is not read any more. */
     private static final int LETTERS_BEFORE_PAUSE = 64;
     /** Reads of one connection before others are served again. */
@@ -98,7 +98,7 @@
         }
     }
 
-    private Peer(EventLoop loop, Limits limits, Handler handler) {
+    private TcpConnection(EventLoop loop, Limits limits, Handler handler) {
         this.loop = loop;
         this.limits = limits;
         this.clock = loop.clock();
@@ -106,15 +106,15 @@
     }
 
     /** A connection that is up, not served before {@link #start}. */
-    static Peer accepted(EventLoop loop, SocketChannel channel, Limits limits, Handler handler) {
-        Peer peer = new Peer(loop, limits, handler);
+    static TcpConnection accepted(EventLoop loop, SocketChannel channel, Limits limits, Handler handler) {
+        TcpConnection peer = new TcpConnection(loop, limits, handler);
         peer.channel = channel;
         return peer;
     }
 
     /** A connection that is being made; letters wait until it is up. Its handler may hear of its end at any time. */
-    static Peer connecting(EventLoop loop, Limits limits, Handler handler) {
-        return new Peer(loop, limits, handler);
+    static TcpConnection connecting(EventLoop loop, Limits limits, Handler handler) {
+        return new TcpConnection(loop, limits, handler);
     }
 
     /** Serves an accepted connection, whose first bytes may have come since this time; on the loop's thread. */
--- a/src/test/java/cairnline/transport/PeerTest.java
+++ b/src/test/java/cairnline/transport/PeerTest.java
@@ -32,10 +32,10 @@
     private final Recorder handler = new Recorder();
     private ServerSocket server;
     private EventLoop loop;
-    private Peer peer;
+    private TcpConnection peer;
     private Socket other;
 
-    private final class Recorder implements Peer.Handler {
+    private final class Recorder implements TcpConnection.Handler {
         @Override
         public void read(byte[] bytes, int count, long now) {
             events.add("read " + count);
@@ -74,7 +74,7 @@
         server = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"));
         loop = new EventLoop("test", 1 << 18, new Clock());
         loop.start();
-        peer = Peer.connecting(loop, limits, handler);
+        peer = TcpConnection.connecting(loop, limits, handler);
         peer.connect(new InetSocketAddress("127.0.0.1", server.getLocalPort()));
         other = server.accept();
         other.setSoTimeout((int) TimeUnit.SECONDS.toMillis(LIMIT_S));
@@ -167,7 +167,7 @@
     @Test
     void aLetterThatIsGivenUpHalfWrittenNeverArrivesWhole() throws Exception {
         AtomicBoolean wanted = new AtomicBoolean(true);
-        peer.offer(new Peer.Letter() {
+        peer.offer(new TcpConnection.Letter() {
             @Override
             public byte[] bytes(long now) {
                 return new byte[LARGE];
@@ -199,7 +199,7 @@
     @Test
     void aPeerThatFloodsAfterTheLastWordIsLeft() throws Exception {
         Limits limits = TestLimits.withLinger(TestLimits.allOf(1 << 26, MAILBOX), 1_000, 1);
-        Peer finishing = Peer.connecting(loop, limits, handler);
+        TcpConnection finishing = TcpConnection.connecting(loop, limits, handler);
         finishing.connect(new InetSocketAddress("127.0.0.1", server.getLocalPort()));
         try (Socket flood = server.accept()) {
             finishing.finish();
@@ -218,11 +218,11 @@
     void aRefusedConnectionIsToldFromOneThatThisSystemCouldNotMake() throws Exception {
         int port = server.getLocalPort();
         server.close();
-        Peer refused = Peer.connecting(loop, TestLimits.allOf(1 << 26, MAILBOX), handler);
+        TcpConnection refused = TcpConnection.connecting(loop, TestLimits.allOf(1 << 26, MAILBOX), handler);
         refused.connect(new InetSocketAddress("127.0.0.1", port));
         assertEquals("unreachable REFUSED", event());
         assertEquals("ended false", event());
-        Peer unresolved = Peer.connecting(loop, TestLimits.allOf(1 << 26, MAILBOX), handler);
+        TcpConnection unresolved = TcpConnection.connecting(loop, TestLimits.allOf(1 << 26, MAILBOX), handler);
         unresolved.connect(InetSocketAddress.createUnresolved("unreadable", 0));
         assertEquals("unreachable LOCAL", event());
     }
