--- a/src/test/java/cairnline/transport/PeerTest.java
+++ b/src/test/java/cairnline/transport/TcpConnectionTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.Test;
 
 /** A connection on an event loop against a plain socket. */
-class PeerTest {
+class TcpConnectionTest {
     private static final long LIMIT_S = 10;
     private static final int MAILBOX = 64;
     private static final int LARGE = 8 << 20;
