--- a/src/main/java/cairnline/transport/RespConnection.java
+++ b/src/main/java/cairnline/transport/RespConnection.java
@@ -150,7 +150,7 @@
     }
 
     /** The letter that carries an attempt; one that is given up must not arrive whole later. */
-    private final class Command implements TcpConnection.Letter {
+    private final class Command implements TcpConnection.OutboundMessage {
         private final Exchange exchange;
 
         Command(Exchange exchange) {
--- a/src/main/java/cairnline/transport/TcpConnection.java
+++ b/src/main/java/cairnline/transport/TcpConnection.java
@@ -32,7 +32,7 @@
     private final Limits limits;
     private final Clock clock;
     private final Handler handler;
-    private final Queue<Letter> letters = new ConcurrentLinkedQueue<>();
+    private final Queue<OutboundMessage> letters = new ConcurrentLinkedQueue<>();
     private final AtomicInteger waiting = new AtomicInteger();
     private final AtomicBoolean flushScheduled = new AtomicBoolean();
     private volatile boolean over;
@@ -47,7 +47,7 @@
     private boolean up;
     /** What is being written, and its letter; null between letters. */
     private ByteBuffer current;
-    private Letter currentLetter;
+    private OutboundMessage currentLetter;
     /** Since when the peer has taken nothing of {@link #current}; 0 if nothing waits. */
     private long stalledSince;
     private long lastRead;
@@ -88,7 +88,7 @@
     }
 
     /** Something to write. */
-    interface Letter {
+    interface OutboundMessage {
         /** Its bytes, made when its turn has come; null if by then there is nothing to be written. */
         byte[] bytes(long now);
 
@@ -187,7 +187,7 @@
     }
 
     /** Leaves a letter unless the connection is over or too many wait. */
-    boolean ask(Letter letter) {
+    boolean ask(OutboundMessage letter) {
         if (waiting.get() >= limits.connections().mailbox()) {
             return false;
         }
@@ -195,7 +195,7 @@
     }
 
     /** Leaves a letter; false if the connection is over. */
-    boolean offer(Letter letter) {
+    boolean offer(OutboundMessage letter) {
         if (over) {
             return false;
         }
@@ -388,7 +388,7 @@
     }
 
     /** One bad letter must not end the connection, and with it all that is open there. */
-    private byte[] bytesOf(Letter letter) {
+    private byte[] bytesOf(OutboundMessage letter) {
         try {
             return letter.bytes(clock.micros());
         } catch (RuntimeException | OutOfMemoryError e) {
--- a/src/test/java/cairnline/transport/TcpConnectionTest.java
+++ b/src/test/java/cairnline/transport/TcpConnectionTest.java
@@ -167,7 +167,7 @@
     @Test
     void aLetterThatIsGivenUpHalfWrittenNeverArrivesWhole() throws Exception {
         AtomicBoolean wanted = new AtomicBoolean(true);
-        peer.offer(new TcpConnection.Letter() {
+        peer.offer(new TcpConnection.OutboundMessage() {
             @Override
             public byte[] bytes(long now) {
                 return new byte[LARGE];
