--- a/src/main/java/cairnline/transport/Allowance.java
+++ b/src/main/java/cairnline/transport/ClientActivity.java
@@ -6,7 +6,7 @@
  * What a client may take: time for its first message, for the rest of one that has begun, and between two; and room
  * for what has begun. Bytes alone prolong nothing, since a client may drip them for ever.
  */
-final class Allowance {
+final class ClientActivity {
     private final SocketFront front;
     private final Limits limits;
     private final long since;
@@ -15,7 +15,7 @@
     private volatile boolean asked;
     private volatile long activeAt;
 
-    Allowance(SocketFront front) {
+    ClientActivity(SocketFront front) {
         this.front = front;
         this.limits = front.limits();
         this.since = front.clock().micros();
--- a/src/main/java/cairnline/transport/ClientSession.java
+++ b/src/main/java/cairnline/transport/ClientSession.java
@@ -32,7 +32,7 @@
     private final TcpConnection peer;
     private final ClientFrames frames;
     private final UsedStreams usedStreams = new UsedStreams();
-    private final Allowance allowance;
+    private final ClientActivity allowance;
     /** Requests without an answer, by their streams; under this session's lock, as whether it drains. */
     private final Map<Long, Request> open = new HashMap<>();
     private boolean draining;
@@ -45,7 +45,7 @@
         this.front = front;
         this.peer = TcpConnection.accepted(front.loop(), channel, front.limits(), this);
         this.frames = new ClientFrames(front.limits().clients().frameBytes());
-        this.allowance = new Allowance(front);
+        this.allowance = new ClientActivity(front);
     }
 
     @Override
--- a/src/main/java/cairnline/transport/ODataSession.java
+++ b/src/main/java/cairnline/transport/ODataSession.java
@@ -39,7 +39,7 @@
     /** The last answer has been given. */
     private boolean finished;
     private boolean gone;
-    private final Allowance allowance;
+    private final ClientActivity allowance;
     private Runnable whenEnded;
 
     private record Arrival(HttpMessage request, long at) { }
@@ -49,7 +49,7 @@
         this.front = front;
         this.peer = TcpConnection.accepted(front.loop(), channel, front.limits(), this);
         this.requests = new HttpDecoder(front.limits().http().headBytes(), front.limits().http().bodyBytes());
-        this.allowance = new Allowance(front);
+        this.allowance = new ClientActivity(front);
     }
 
     @Override
