--- a/src/main/java/cairnline/transport/ODataBatchRun.java
+++ b/src/main/java/cairnline/transport/ODataBatchExecution.java
@@ -16,7 +16,7 @@
  * A batch under way, on its session's actor. Requests that neither depend on each other nor touch the same entity go
  * out together; a load waits for every earlier request to what it changes, and every later one waits for it.
  */
-final class ODataBatchRun {
+final class ODataBatchExecution {
     private final ODataBatch batch;
     private final ODataSession session;
     private final long arrivedAt;
@@ -25,7 +25,7 @@
     private final boolean[] started;
     private Consumer<HttpMessage> whole;
 
-    ODataBatchRun(ODataBatch batch, ODataSession session, long arrivedAt) {
+    ODataBatchExecution(ODataBatch batch, ODataSession session, long arrivedAt) {
         this.batch = batch;
         this.session = session;
         this.arrivedAt = arrivedAt;
--- a/src/main/java/cairnline/transport/ODataSession.java
+++ b/src/main/java/cairnline/transport/ODataSession.java
@@ -203,7 +203,7 @@
             }
             if (path(request).equals("/$batch")) {
                 ODataBatch batch = ODataBatch.read(request, front.limits().http().batchRequests());
-                new ODataBatchRun(batch, this, arrival.at()).start(whole -> answered(request, whole));
+                new ODataBatchExecution(batch, this, arrival.at()).start(whole -> answered(request, whole));
                 return null;
             }
             ODataCall call = new ODataCall(front, ODataCall.read(request, front), arrival.at(),
