--- a/src/main/java/cairnline/program/Rehearsal.java
+++ b/src/main/java/cairnline/program/Rehearsal.java
@@ -6,7 +6,7 @@
 import cairnline.protocol.ProtocolException;
 import cairnline.protocol.RecordedRequest;
 import cairnline.protocol.Recording;
-import cairnline.transport.HttpCaller;
+import cairnline.transport.BlockingHttpClient;
 import java.io.BufferedInputStream;
 import java.io.IOException;
 import java.io.PrintStream;
@@ -34,8 +34,8 @@
     private final Map<String, Tally> tallies = new TreeMap<>();
     private final List<String> bad = new ArrayList<>();
     private final List<String> brokenRules = new ArrayList<>();
-    private final ThreadLocal<HttpCaller> callers;
-    private final List<HttpCaller> opened = new ArrayList<>();
+    private final ThreadLocal<BlockingHttpClient> callers;
+    private final List<BlockingHttpClient> opened = new ArrayList<>();
     private final LongSupplier millis;
     private long badCount;
     private long writesLeftOut;
@@ -56,7 +56,7 @@
         this.out = out;
         this.millis = () -> System.nanoTime() / NANOS_PER_MILLI;
         this.callers = ThreadLocal.withInitial(() -> {
-            HttpCaller caller = new HttpCaller(options.to(), (int) options.patience(), MOST_BODY);
+            BlockingHttpClient caller = new BlockingHttpClient(options.to(), (int) options.patience(), MOST_BODY);
             synchronized (opened) {
                 opened.add(caller);
             }
@@ -73,7 +73,7 @@
         } finally {
             workers.shutdown();
             workers.awaitTermination(2 * options.patience(), TimeUnit.MILLISECONDS);
-            opened.forEach(HttpCaller::close);
+            opened.forEach(BlockingHttpClient::close);
         }
         report();
     }
--- a/src/main/java/cairnline/transport/HttpCaller.java
+++ b/src/main/java/cairnline/transport/BlockingHttpClient.java
@@ -9,7 +9,7 @@
 import java.net.Socket;
 
 /** A client that asks one thing at a time over a connection that it keeps; for the rehearsal kit. */
-public final class HttpCaller implements AutoCloseable {
+public final class BlockingHttpClient implements AutoCloseable {
     private static final int READ_SIZE = 8192;
 
     private final InetSocketAddress address;
@@ -19,7 +19,7 @@
     private HttpDecoder decoder;
 
     /** A caller without a connection yet. */
-    public HttpCaller(InetSocketAddress address, int timeoutMillis, int mostBody) {
+    public BlockingHttpClient(InetSocketAddress address, int timeoutMillis, int mostBody) {
         this.address = address;
         this.timeoutMillis = timeoutMillis;
         this.mostBody = mostBody;
