--- a/src/main/java/cairnline/program/Configuration.java
+++ b/src/main/java/cairnline/program/Configuration.java
@@ -11,7 +11,7 @@
 import cairnline.simhost.Fields;
 import cairnline.simhost.SettingsReader;
 import cairnline.simhost.WireException;
-import cairnline.transport.ClientFront.ClassRules;
+import cairnline.transport.ClientFront.ClassRequirements;
 import java.io.IOException;
 import java.math.BigDecimal;
 import java.net.InetSocketAddress;
@@ -125,10 +125,10 @@
     }
 
     /** What the requests of each class must carry. */
-    Map<String, ClassRules> classes() {
-        Map<String, ClassRules> classes = new HashMap<>();
+    Map<String, ClassRequirements> classes() {
+        Map<String, ClassRequirements> classes = new HashMap<>();
         settings.types().forEach(type ->
-                classes.put(type.name(), new ClassRules(type.effect() == Effect.KEYED, type.serial())));
+                classes.put(type.name(), new ClassRequirements(type.effect() == Effect.KEYED, type.serial())));
         return classes;
     }
 
--- a/src/main/java/cairnline/transport/ClientFront.java
+++ b/src/main/java/cairnline/transport/ClientFront.java
@@ -8,13 +8,13 @@
 
 /** The platform's protocol. */
 public final class ClientFront extends SocketFront {
-    private final Map<String, ClassRules> classes;
+    private final Map<String, ClassRequirements> classes;
 
     /** What a request of a class must carry. */
-    public record ClassRules(boolean keyed, boolean ordered) { }
+    public record ClassRequirements(boolean keyed, boolean ordered) { }
 
     /** A front at this listener. */
-    public ClientFront(Listener listener, Core core, Map<String, ClassRules> classes, Limits limits, Events log) {
+    public ClientFront(Listener listener, Core core, Map<String, ClassRequirements> classes, Limits limits, Events log) {
         super(listener, core, limits, log);
         this.classes = classes;
     }
@@ -24,7 +24,7 @@
         return new ClientSession(channel, this);
     }
 
-    Map<String, ClassRules> classes() {
+    Map<String, ClassRequirements> classes() {
         return classes;
     }
 }
--- a/src/main/java/cairnline/transport/ClientSession.java
+++ b/src/main/java/cairnline/transport/ClientSession.java
@@ -300,7 +300,7 @@
     }
 
     private Request request(ClientRequest r, long stream, long now) {
-        ClientFront.ClassRules rules = front.classes().get(r.type());
+        ClientFront.ClassRequirements rules = front.classes().get(r.type());
         if (rules == null) {
             throw new ProtocolException("op names no class: " + r.type());
         }
