--- a/src/main/java/cairnline/program/ODataServer.java
+++ b/src/main/java/cairnline/program/ODataServer.java
@@ -44,7 +44,7 @@
     /** Takes up the feed or the engines that its file names now. */
     void follow(ODataConfiguration odata) {
         if (feed != null && odata.feed() != null) {
-            feed.follow(odata.feed());
+            feed.changeAddress(odata.feed());
         } else if (!odata.engines().isEmpty()) {
             core.listed(true, odata.engines());
         }
--- a/src/main/java/cairnline/program/Server.java
+++ b/src/main/java/cairnline/program/Server.java
@@ -126,7 +126,7 @@
         try {
             Configuration next = Configuration.read(System.getenv());
             ServeSettings nextSettings = settings.again(started);
-            feed.follow(next.feed());
+            feed.changeAddress(next.feed());
             tell(next);
             if (odata != null && nextSettings.odata() != null) {
                 odata.follow(nextSettings.odata());
