--- a/src/main/java/cairnline/program/ODataServer.java
+++ b/src/main/java/cairnline/program/ODataServer.java
@@ -61,7 +61,7 @@
 
     /** Ends as the platform's front does; {@code done} runs when all that was taken is answered. */
     void stop(Runnable done) {
-        front.stopping();
+        front.announceShutdown();
         core.stopping(done);
     }
 
--- a/src/main/java/cairnline/program/Server.java
+++ b/src/main/java/cairnline/program/Server.java
@@ -141,7 +141,7 @@
 
     private void stop() {
         CountDownLatch answered = new CountDownLatch(odata == null ? 1 : 2);
-        clients.stopping();
+        clients.announceShutdown();
         core.stopping(answered::countDown);
         if (odata != null) {
             odata.stop(answered::countDown);
--- a/src/test/java/cairnline/program/ODataWire.java
+++ b/src/test/java/cairnline/program/ODataWire.java
@@ -61,7 +61,7 @@
 
     @Override
     public void stopping() {
-        front.stopping();
+        front.announceShutdown();
     }
 
     @Override
--- a/src/test/java/cairnline/program/PlatformWire.java
+++ b/src/test/java/cairnline/program/PlatformWire.java
@@ -61,7 +61,7 @@
 
     @Override
     public void stopping() {
-        front.stopping();
+        front.announceShutdown();
     }
 
     /** The id that stands for a request's name. */
