--- a/src/test/java/cairnline/program/ODataWire.java
+++ b/src/test/java/cairnline/program/ODataWire.java
@@ -66,7 +66,7 @@
 
     @Override
     public int connections() {
-        return front.connections();
+        return front.connectionCount();
     }
 
     @Override
--- a/src/test/java/cairnline/program/PlatformWire.java
+++ b/src/test/java/cairnline/program/PlatformWire.java
@@ -75,7 +75,7 @@
 
     @Override
     public int connections() {
-        return front.connections();
+        return front.connectionCount();
     }
 
     @Override
