--- a/src/main/java/cairnline/pools/ConnectionBudget.java
+++ b/src/main/java/cairnline/pools/ConnectionBudget.java
@@ -23,7 +23,7 @@
     /** What is asked of a connection. */
     public interface Pooled {
         /** Whether it has ended. */
-        boolean isOver();
+        boolean isClosed();
 
         /** Whether nothing is open on it. */
         boolean isIdle();
@@ -63,7 +63,7 @@
     public C leastUseful() {
         for (Iterator<C> each = used.keySet().iterator(); each.hasNext();) {
             C connection = each.next();
-            if (connection.isOver() || connection.isIdle()) {
+            if (connection.isClosed() || connection.isIdle()) {
                 each.remove();
                 return connection;
             }
@@ -82,7 +82,7 @@
             }
             each.remove();
             C connection = entry.getKey();
-            (connection.isOver() || connection.isIdle() ? stale : busy).add(connection);
+            (connection.isClosed() || connection.isIdle() ? stale : busy).add(connection);
         }
         busy.forEach(connection -> used(connection, now));
         return stale;
--- a/src/main/java/cairnline/transport/ClientActivity.java
+++ b/src/main/java/cairnline/transport/ClientActivity.java
@@ -67,7 +67,7 @@
     }
 
     /** Whether a message is owed for too long. */
-    boolean isOver(long now) {
+    boolean isClosed(long now) {
         return now >= owed();
     }
 
--- a/src/main/java/cairnline/transport/ClientSession.java
+++ b/src/main/java/cairnline/transport/ClientSession.java
@@ -173,7 +173,7 @@
         if (isDraining()) {
             return true;
         }
-        if (allowance.isOver(now)) {
+        if (allowance.isClosed(now)) {
             stopReading("no whole frame in time");
             return true;
         }
--- a/src/main/java/cairnline/transport/HttpConnection.java
+++ b/src/main/java/cairnline/transport/HttpConnection.java
@@ -48,7 +48,7 @@
     }
 
     @Override
-    public synchronized boolean isOver() {
+    public synchronized boolean isClosed() {
         return over;
     }
 
@@ -117,7 +117,7 @@
 
     @Override
     public void read(byte[] bytes, int count, long now) {
-        if (isOver()) {
+        if (isClosed()) {
             return;
         }
         try {
--- a/src/main/java/cairnline/transport/ODataSession.java
+++ b/src/main/java/cairnline/transport/ODataSession.java
@@ -150,7 +150,7 @@
 
     @Override
     public boolean quiet(long now) {
-        if (!inputOver && allowance.isOver(now)) {
+        if (!inputOver && allowance.isClosed(now)) {
             endInput(ODataModel.error(408, "no whole request in time"));
         }
         return inputOver || !allowance.isIdle(now) || !retire();
--- a/src/main/java/cairnline/transport/PooledLink.java
+++ b/src/main/java/cairnline/transport/PooledLink.java
@@ -47,7 +47,7 @@
     final C connection(Predicate<C> willDo, ToIntFunction<C> load, int tooMuch, Supplier<C> open) {
         long now = clock.micros();
         budget.stale(now).forEach(Connection::close);
-        connections.removeIf(Connection::isOver);
+        connections.removeIf(Connection::isClosed);
         C least = connections.stream().filter(willDo).min(Comparator.comparingInt(load)).orElse(null);
         boolean enough = least != null && load.applyAsInt(least) < tooMuch || connections.size() >= most;
         C chosen = enough || !madeRoom() ? least : open.get();
--- a/src/main/java/cairnline/transport/RespConnection.java
+++ b/src/main/java/cairnline/transport/RespConnection.java
@@ -92,7 +92,7 @@
     }
 
     @Override
-    public synchronized boolean isOver() {
+    public synchronized boolean isClosed() {
         return over;
     }
 
--- a/src/test/java/cairnline/pools/ConnectionBudgetTest.java
+++ b/src/test/java/cairnline/pools/ConnectionBudgetTest.java
@@ -22,7 +22,7 @@
         boolean busy;
 
         @Override
-        public boolean isOver() {
+        public boolean isClosed() {
             return over;
         }
 
