--- a/src/test/java/cairnline/program/ConfigurationTest.java
+++ b/src/test/java/cairnline/program/ConfigurationTest.java
@@ -37,7 +37,7 @@
         assertEquals(16, configuration.settings().kinds().get("std16").cores());
         assertEquals(250_000, configuration.limits().connections().connect());
         assertTrue(configuration.classes().get("load").ordered());
-        assertFalse(configuration.classes().get("lookup").keyed());
+        assertFalse(configuration.classes().get("lookup").needsIdempotencyKey());
     }
 
     /** How many managers there are decides probes, samples and shares: one that is not told counts as alone. */
