--- a/src/test/java/cairnline/program/ConfigurationTest.java
+++ b/src/test/java/cairnline/program/ConfigurationTest.java
@@ -36,7 +36,7 @@
         assertTrue(configuration.settings().types().get(0).waitsForHolder());
         assertEquals(16, configuration.settings().kinds().get("std16").cores());
         assertEquals(250_000, configuration.limits().connections().connect());
-        assertTrue(configuration.classes().get("load").ordered());
+        assertTrue(configuration.classes().get("load").needsOrderingKey());
         assertFalse(configuration.classes().get("lookup").needsIdempotencyKey());
     }
 
