--- a/src/main/java/cairnline/pools/ConnectionBudget.java
+++ b/src/main/java/cairnline/pools/ConnectionBudget.java
@@ -7,84 +7,83 @@
 import java.util.Map;
 
 /**
- * Which connections to engines are kept open, over all engines of the list together. Each costs a descriptor here and a
- * place at its engine. They are opened by need; where there is no room for one more the one that was used longest ago
- * gives way, and none that has anything open on it. It does no I/O, reads no clock and is used by one thread; times are
- * microseconds on the program's clock.
+ * Limits the open connections to all engines together, since each costs a file descriptor here and a connection slot at its
+ * engine. If there is no room for another connection, the least recently used one that has nothing in flight is evicted.
+ * Does no I/O, reads no clock and is not thread-safe; times are microseconds on the program's clock.
  *
- * @param <C> a connection
+ * @param <C> the type of the connections
  */
 public final class ConnectionBudget<C extends ConnectionBudget.Pooled> {
-    private final int most;
-    private final long idle;
-    /** When each was last used; the one used longest ago stands first. */
-    private final Map<C, Long> used = new LinkedHashMap<>();
+    private final int maxConnections;
+    private final long idleTimeout;
+    /** The time of the last use of each connection, least recently used first. */
+    private final Map<C, Long> lastUsedAt = new LinkedHashMap<>();
 
-    /** What is asked of a connection. */
+    /** A connection that counts against the budget. */
     public interface Pooled {
-        /** Whether it has ended. */
+        /** Whether the connection is closed. */
         boolean isClosed();
 
-        /** Whether nothing is open on it. */
+        /** Whether the connection is open with nothing in flight. */
         boolean isIdle();
     }
 
-    /** Room for {@code most} connections, which are let go after {@code idle} without use. */
-    public ConnectionBudget(int most, long idle) {
-        this.most = most;
-        this.idle = idle;
+    /** Creates a budget of {@code maxConnections}, which expire after {@code idleTimeout} microseconds without use. */
+    public ConnectionBudget(int maxConnections, long idleTimeout) {
+        this.maxConnections = maxConnections;
+        this.idleTimeout = idleTimeout;
     }
 
-    /** It has been opened, or something was asked on it. */
-    public void used(C connection, long now) {
-        used.remove(connection);
-        used.put(connection, now);
+    /** Adds a connection that was opened, or marks one as most recently used. */
+    public void markUsed(C connection, long now) {
+        lastUsedAt.remove(connection);
+        lastUsedAt.put(connection, now);
     }
 
-    /** It is closed. */
-    public void ended(C connection) {
-        used.remove(connection);
+    /** Removes a closed connection. */
+    public void remove(C connection) {
+        lastUsedAt.remove(connection);
     }
 
-    /** Whether one more may be opened. */
+    /** Whether another connection may be opened. */
     public boolean hasRoom() {
-        return used.size() < most;
+        return lastUsedAt.size() < maxConnections;
     }
 
-    /** How many are kept. */
+    /** Returns the number of connections. */
     public int size() {
-        return used.size();
+        return lastUsedAt.size();
     }
 
     /**
-     * Takes out the connection that is to be closed so that another may be opened: the one idle for longest; null if
-     * something is open on all of them.
+     * Removes and returns the least recently used connection that is idle or closed, which the caller must close; null if all
+     * connections are in use.
      */
-    public C leastUseful() {
-        for (Iterator<C> each = used.keySet().iterator(); each.hasNext();) {
-            C connection = each.next();
+    public C evictIdle() {
+        for (Iterator<C> iterator = lastUsedAt.keySet().iterator(); iterator.hasNext();) {
+            C connection = iterator.next();
             if (connection.isClosed() || connection.isIdle()) {
-                each.remove();
+                iterator.remove();
                 return connection;
             }
         }
         return null;
     }
 
-    /** Takes out those to be closed because nothing was asked there for too long; what is open somewhere counts as use. */
-    public List<C> stale(long now) {
-        List<C> stale = new ArrayList<>(0);
+    /** Removes and returns the connections to close because they expired; one with something in flight is marked as used now. */
+    public List<C> removeExpired(long now) {
+        List<C> expired = new ArrayList<>(0);
         List<C> busy = new ArrayList<>(0);
-        for (Iterator<Map.Entry<C, Long>> each = used.entrySet().iterator(); each.hasNext();) {
-            Map.Entry<C, Long> entry = each.next();
-            if (now - entry.getValue() < idle) {
+        for (Iterator<Map.Entry<C, Long>> iterator = lastUsedAt.entrySet().iterator(); iterator.hasNext();) {
+            Map.Entry<C, Long> entry = iterator.next();
+            if (now - entry.getValue() < idleTimeout) {
                 break;
             }
-            each.remove();
+            iterator.remove();
             C connection = entry.getKey();
-            (connection.isClosed() || connection.isIdle() ? stale : busy).add(connection);
+            (connection.isClosed() || connection.isIdle() ? expired : busy).add(connection);
         }
-        busy.forEach(connection -> used(connection, now));
-        return stale;
+        busy.forEach(connection -> markUsed(connection, now));
+        return expired;
     }
 }
--- a/src/main/java/cairnline/transport/BlockingHttpClient.java
+++ b/src/main/java/cairnline/transport/BlockingHttpClient.java
@@ -8,24 +8,24 @@
 import java.net.InetSocketAddress;
 import java.net.Socket;
 
-/** A client that asks one thing at a time over a connection that it keeps; for the rehearsal kit. */
+/** An HTTP client that sends one request at a time over a persistent connection; for rehearsals. Not thread-safe. */
 public final class BlockingHttpClient implements AutoCloseable {
-    private static final int READ_SIZE = 8192;
+    private static final int READ_BUFFER_BYTES = 8192;
 
     private final InetSocketAddress address;
     private final int timeoutMillis;
-    private final int mostBody;
+    private final int maxBodyBytes;
     private Socket socket;
     private HttpDecoder decoder;
 
-    /** A caller without a connection yet. */
-    public BlockingHttpClient(InetSocketAddress address, int timeoutMillis, int mostBody) {
+    /** Creates a client, which connects with its first call. */
+    public BlockingHttpClient(InetSocketAddress address, int timeoutMillis, int maxBodyBytes) {
         this.address = address;
         this.timeoutMillis = timeoutMillis;
-        this.mostBody = mostBody;
+        this.maxBodyBytes = maxBodyBytes;
     }
 
-    /** The whole answer; a second one, or none, is an exception. */
+    /** Sends a request and returns the complete answer; throws if there is none in time, or more than one. */
     public HttpMessage call(HttpMessage request) throws IOException {
         try {
             if (socket == null) {
@@ -33,13 +33,13 @@
                 socket.connect(address, timeoutMillis);
                 socket.setTcpNoDelay(true);
                 socket.setSoTimeout(timeoutMillis);
-                decoder = new HttpDecoder(1 << 16, mostBody);
+                decoder = new HttpDecoder(1 << 16, maxBodyBytes);
             }
             String host = address.getHostString() + ":" + address.getPort();
             socket.getOutputStream().write(request.with("host", host).bytes());
-            HttpMessage answer = answer(socket.getInputStream());
+            HttpMessage answer = readAnswer(socket.getInputStream());
             if (decoder.partial()) {
-                throw new ProtocolException("more came than one answer");
+                throw new ProtocolException("received more than one answer");
             }
             if (answer.closes()) {
                 close();
@@ -51,12 +51,12 @@
         }
     }
 
-    private HttpMessage answer(InputStream in) throws IOException {
-        byte[] bytes = new byte[READ_SIZE];
+    private HttpMessage readAnswer(InputStream in) throws IOException {
+        byte[] bytes = new byte[READ_BUFFER_BYTES];
         while (true) {
             int count = in.read(bytes);
             if (count < 0) {
-                throw new IOException("the connection ended before the answer");
+                throw new IOException("connection closed before the answer");
             }
             decoder.feed(bytes, count);
             HttpMessage answer = decoder.next();
--- a/src/main/java/cairnline/transport/ClientActivity.java
+++ b/src/main/java/cairnline/transport/ClientActivity.java
@@ -3,84 +3,86 @@
 import cairnline.routing.Limits;
 
 /**
- * What a client may take: time for its first message, for the rest of one that has begun, and between two; and room
- * for what has begun. Bytes alone prolong nothing, since a client may drip them for ever.
+ * Tracks the time limits of one client, for its first message, for the rest of a partial message and for idle time between
+ * messages, and the bytes held for its partial message. Partial input extends no deadline, since a client could send single
+ * bytes indefinitely. Confined to the event loop's thread, except where noted.
  */
 final class ClientActivity {
     private final SocketFront front;
     private final Limits limits;
-    private final long since;
+    private final long connectedAt;
     private long partialSince;
-    private long held;
-    private volatile boolean asked;
-    private volatile long activeAt;
+    private long heldBytes;
+    private volatile boolean requestReceived;
+    private volatile long lastActiveAt;
 
     ClientActivity(SocketFront front) {
         this.front = front;
         this.limits = front.limits();
-        this.since = front.clock().micros();
-        this.activeAt = since;
+        this.connectedAt = front.clock().micros();
+        this.lastActiveAt = connectedAt;
     }
 
     /**
-     * Bytes have been read, with a whole message among them or not, and another has begun or not; on the loop's thread, as
-     * all but what is asked of it.
+     * Records a read. {@code complete} says whether it completed a message, {@code partial} whether a partial message is left.
      */
-    void read(long now, boolean whole, boolean partial) {
-        asked |= whole;
-        activeAt = now;
+    void onRead(long now, boolean complete, boolean partial) {
+        requestReceived |= complete;
+        lastActiveAt = now;
         if (!partial) {
             partialSince = 0;
-        } else if (whole || partialSince == 0) {
+        } else if (complete || partialSince == 0) {
             partialSince = now;
         }
     }
 
-    /** The connection is over. */
-    void end() {
-        hold(0);
+    /** Releases the bytes held for the partial message, when no more input is used. */
+    void releaseBytes() {
+        setHeldBytes(0);
     }
 
-    /** So many bytes are held of a message that has begun; false if all clients together hold too much. */
-    boolean hold(long bytes) {
-        long more = bytes - held;
-        held = bytes;
-        return more == 0 || front.hold(more) || more < 0;
+    /** Sets the size of the partial message; false if it grew and the bytes held for all clients exceed their limit. */
+    boolean setHeldBytes(long bytes) {
+        long increase = bytes - heldBytes;
+        heldBytes = bytes;
+        return increase == 0 || front.addHeldBytes(increase) || increase < 0;
     }
 
-    /** Something has been answered; on any thread. */
-    void answered(long now) {
-        activeAt = now;
+    /** Records an answer; safe for any thread. */
+    void onAnswered(long now) {
+        lastActiveAt = now;
     }
 
-    /** When the client must have moved on, if it last did so then. */
-    long due(long lastRead) {
-        return Math.min(lastRead + limits.clients().idle(), owed());
+    /** Returns the next deadline, given the time of the last read. */
+    long timeoutAt(long lastReadAt) {
+        return Math.min(lastReadAt + limits.clients().idle(), messageDeadline());
     }
 
-    /** When a message is owed. */
-    private long owed() {
+    /** Returns when the current or first message must be complete; {@code Long.MAX_VALUE} without such a deadline. */
+    private long messageDeadline() {
         if (partialSince > 0) {
             return partialSince + limits.clients().wholeMessage();
         }
-        return asked ? Long.MAX_VALUE : since + limits.clients().firstMessage();
+        return requestReceived ? Long.MAX_VALUE : connectedAt + limits.clients().firstMessage();
     }
 
-    /** Whether a message is owed for too long. */
-    boolean isClosed(long now) {
-        return now >= owed();
+    /** Whether the current or first message is overdue. */
+    boolean isMessageOverdue(long now) {
+        return now >= messageDeadline();
     }
 
-    /** Whether the client has been still for so long that it may go if it waits for nothing. */
+    /** Whether the client has been inactive for the idle time; its connection may be closed if no request is open. */
     boolean isIdle(long now) {
-        return now - activeAt >= limits.clients().idle();
+        return now - lastActiveAt >= limits.clients().idle();
     }
 
-    boolean hasAsked() {
-        return asked;
+    /** Whether a complete message has been received; safe for any thread. */
+    boolean hasSentRequest() {
+        return requestReceived;
     }
 
-    long activeAt() {
-        return activeAt;
+    /** Returns the time of the last read or answer; safe for any thread. */
+    long lastActiveAt() {
+        return lastActiveAt;
     }
 }
--- a/src/main/java/cairnline/transport/ClientFront.java
+++ b/src/main/java/cairnline/transport/ClientFront.java
@@ -6,25 +6,26 @@
 import java.nio.channels.SocketChannel;
 import java.util.Map;
 
-/** The platform's protocol. */
+/** Serves clients that speak the platform's binary protocol. */
 public final class ClientFront extends SocketFront {
-    private final Map<String, ClassRequirements> classes;
+    private final Map<String, ClassRequirements> classRequirements;
 
-    /** What a request of a class must carry. */
-    public record ClassRequirements(boolean keyed, boolean ordered) { }
+    /** Whether requests of a class need an idempotency key, and whether they need an ordering key. */
+    public record ClassRequirements(boolean needsIdempotencyKey, boolean needsOrderingKey) { }
 
-    /** A front at this listener. */
-    public ClientFront(Listener listener, Core core, Map<String, ClassRequirements> classes, Limits limits, Events log) {
-        super(listener, core, limits, log);
-        this.classes = classes;
+    /** Creates a server at this listener for the given request classes, by their names. */
+    public ClientFront(Listener listener, Core dispatcher, Map<String, ClassRequirements> classRequirements, Limits limits,
+                       Events log) {
+        super(listener, dispatcher, limits, log);
+        this.classRequirements = classRequirements;
     }
 
     @Override
-    Listener.Session session(SocketChannel channel) {
+    Listener.Session newSession(SocketChannel channel) {
         return new ClientSession(channel, this);
     }
 
-    Map<String, ClassRequirements> classes() {
-        return classes;
+    Map<String, ClassRequirements> classRequirements() {
+        return classRequirements;
     }
 }
--- a/src/main/java/cairnline/transport/ClientSession.java
+++ b/src/main/java/cairnline/transport/ClientSession.java
@@ -18,323 +18,330 @@
 import java.util.stream.Collectors;
 
 /**
- * One client connection of the platform's protocol. Once its input has ended, or can't be used any more, it drains: nothing
- * new is taken, and the connection ends after the last open request has its answer.
+ * One client connection of the platform's protocol. Once the client has closed its output, or its input is malformed, the
+ * session drains: it accepts no further requests and closes the connection after the last open request is answered.
  */
 final class ClientSession implements Listener.Session, TcpConnection.Handler {
-    /** A peer that has closed both ways answers the first write by a reset, which fails the second. */
-    private static final long SECOND_NOTICE_MICROS = 20_000;
-    /** Within this time after the end of the input a request that was just taken may still go out. */
-    private static final long DETACH_AFTER_MICROS = 10_000;
+    /**
+     * When to repeat a notice to a client that has closed its output. If it has closed the connection entirely, it answers
+     * the first write with a reset, which makes the second write fail and so reveals the end of the connection.
+     */
+    private static final long SECOND_NOTICE_DELAY_MICROS = 20_000;
+    /** A request received just before the end of the input may still be sent to an engine for this long. */
+    private static final long DETACH_DELAY_MICROS = 10_000;
 
     private final SocketChannel channel;
     private final ClientFront front;
-    private final TcpConnection peer;
+    private final TcpConnection connection;
     private final ClientFrames frames;
     private final UsedStreams usedStreams = new UsedStreams();
-    private final ClientActivity allowance;
-    /** Requests without an answer, by their streams; under this session's lock, as whether it drains. */
-    private final Map<Long, Request> open = new HashMap<>();
+    private final ClientActivity activity;
+    /** Unanswered requests by stream; guarded by this session's lock, like {@link #draining}. */
+    private final Map<Long, Request> openRequests = new HashMap<>();
     private boolean draining;
-    private Runnable whenEnded;
-    /** Requests that could not be used. */
-    private int faults;
+    private Runnable closeListener;
+    private int invalidRequestCount;
 
     ClientSession(SocketChannel channel, ClientFront front) {
         this.channel = channel;
         this.front = front;
-        this.peer = TcpConnection.accepted(front.loop(), channel, front.limits(), this);
+        this.connection = TcpConnection.forAcceptedChannel(front.loop(), channel, front.limits(), this);
         this.frames = new ClientFrames(front.limits().clients().frameBytes());
-        this.allowance = new ClientActivity(front);
+        this.activity = new ClientActivity(front);
     }
 
     @Override
-    public void start(long since, Runnable ended) throws IOException {
-        whenEnded = ended;
-        peer.start(since);
+    public void start(long arrivedSince, Runnable onClosed) throws IOException {
+        closeListener = onClosed;
+        connection.start(arrivedSince);
         if (front.isStopping()) {
-            stopping();
+            announceShutdown();
         }
     }
 
     @Override
-    public void stopping() {
-        peer.send(ClientFrames.noMoreRequests());
+    public void announceShutdown() {
+        connection.send(ClientFrames.noMoreRequests());
     }
 
     @Override
-    public void tooMany() {
-        TcpConnection.turnAway(channel, error("too many connections"));
+    public void reject() {
+        TcpConnection.reject(channel, errorFrame("too many connections"));
     }
 
     @Override
     public synchronized long idleSince() {
-        return isIdle() ? allowance.activeAt() : Long.MAX_VALUE;
+        return isIdle() ? activity.lastActiveAt() : Long.MAX_VALUE;
     }
 
     private boolean isIdle() {
-        return open.isEmpty() && peer.isFlushed();
+        return openRequests.isEmpty() && connection.isFlushed();
     }
 
     @Override
-    public boolean hasAsked() {
-        return allowance.hasAsked();
+    public boolean hasSentRequest() {
+        return activity.hasSentRequest();
     }
 
     @Override
-    public boolean retire() {
-        boolean silent = !peer.readNow();
+    public boolean confirmIdle() {
+        boolean nothingToRead = !connection.readNow();
         synchronized (this) {
-            return silent && isIdle();
+            return nothingToRead && isIdle();
         }
     }
 
     @Override
     public void close() {
-        peer.closeNow("evicted to make room");
+        connection.closeNow("evicted to make room");
     }
 
     @Override
     public void drain() {
-        while (peer.readNow()) {
-            // What the system held unread is taken, and answered like all else.
+        while (connection.readNow()) {
+            // Requests that wait in the socket are accepted and answered like all others.
         }
-        drainFrom();
+        startDraining();
     }
 
-    /** Takes nothing more; the output ends with the answer to the last open request. */
-    private synchronized void drainFrom() {
+    /** Drops all further input; the output is shut down after the answer to the last open request. */
+    private synchronized void startDraining() {
         if (!draining) {
             draining = true;
-            peer.ignoreInput();
+            connection.ignoreInput();
         }
         finishIfAnswered();
     }
 
     private void finishIfAnswered() {
-        if (draining && open.isEmpty()) {
-            peer.finish();
+        if (draining && openRequests.isEmpty()) {
+            connection.finishOutput();
         }
     }
 
     @Override
-    public void read(byte[] bytes, int count, long now) {
+    public void onRead(byte[] bytes, int count, long receivedAt) {
         frames.feed(bytes, count);
         try {
-            boolean whole = false;
+            boolean complete = false;
             for (Frame frame = frames.next(); frame != null; frame = frames.next()) {
-                whole = true;
-                take(frame, now);
+                complete = true;
+                handleFrame(frame, receivedAt);
             }
-            allowance.read(now, whole, frames.partial());
-            if (!allowance.hold(frames.held())) {
+            activity.onRead(receivedAt, complete, frames.partial());
+            if (!activity.setHeldBytes(frames.held())) {
                 frames.dropPartial();
-                allowance.hold(frames.held());
+                activity.setHeldBytes(frames.held());
             }
         } catch (ProtocolException e) {
             stopReading(e.getMessage());
         }
     }
 
-    /** What follows can't be used. */
+    /** Stops reading after a protocol violation or timeout; open requests are still answered. */
     private void stopReading(String problem) {
-        long unfinished = frames.partialRequest();
-        front.log().warn("client.unreadable", problem, "peer", peer.address(), "open", ids(openRequests()));
-        peer.send(error(problem));
-        if (unfinished > 0 && usedStreams.use(unfinished)) {
-            peer.send(say(unfinished, ClientFrames.CODE_REFUSED, problem));
+        long partialStream = frames.partialRequest();
+        front.log().warn("client.unreadable", problem, "peer", connection.address(), "open",
+                requestIds(copyOpenRequests()));
+        connection.send(errorFrame(problem));
+        if (partialStream > 0 && usedStreams.use(partialStream)) {
+            connection.send(textAnswer(partialStream, ClientFrames.CODE_REFUSED, problem));
         }
-        allowance.end();
-        detachSoon(front.clock().micros());
-        drainFrom();
+        activity.releaseBytes();
+        scheduleDetach(front.clock().micros());
+        startDraining();
     }
 
-    /** No further attempt begins for what is open then; what is out may still end. */
-    private void detachSoon(long inputEndedAt) {
-        long due = inputEndedAt + DETACH_AFTER_MICROS;
-        if (due <= front.clock().micros()) {
-            detachOpen();
+    /** Schedules that no further attempts start for the requests open then; attempts that run may still complete. */
+    private void scheduleDetach(long inputClosedAt) {
+        long detachAt = inputClosedAt + DETACH_DELAY_MICROS;
+        if (detachAt <= front.clock().micros()) {
+            detachOpenRequests();
         } else {
-            front.loop().schedule(due, peer, this::detachOpen);
+            front.loop().schedule(detachAt, connection, this::detachOpenRequests);
         }
     }
 
-    private void detachOpen() {
-        openRequests().forEach(front.core()::detach);
+    private void detachOpenRequests() {
+        copyOpenRequests().forEach(front.dispatcher()::detach);
     }
 
     @Override
-    public long due(long lastRead) {
-        return isDraining() ? lastRead + front.limits().clients().idle() : allowance.due(lastRead);
+    public long timeoutAt(long lastReadAt) {
+        return isDraining() ? lastReadAt + front.limits().clients().idle() : activity.timeoutAt(lastReadAt);
     }
 
     @Override
-    public boolean quiet(long now) {
+    public boolean onTimeout(long now) {
         if (isDraining()) {
             return true;
         }
-        if (allowance.isClosed(now)) {
+        if (activity.isMessageOverdue(now)) {
             stopReading("no whole frame in time");
             return true;
         }
-        return !allowance.isIdle(now) || !retire();
+        return !activity.isIdle(now) || !confirmIdle();
     }
 
     private synchronized boolean isDraining() {
         return draining;
     }
 
-    /** The client sends no more: what is open is answered for one that still reads. */
+    /** Drains: open requests are answered, since a client that has closed its output may still read. */
     @Override
-    public boolean inputEnded(long since) {
+    public boolean onInputClosed(long since) {
         if (frames.partial() && !isDraining()) {
             stopReading("the connection ended inside a frame");
             return true;
         }
-        if (openCount() > 0) {
-            peer.send(ClientFrames.noMoreRequests());
-            front.loop().schedule(front.clock().micros() + SECOND_NOTICE_MICROS, peer,
-                    () -> peer.send(ClientFrames.noMoreRequests()));
-            detachSoon(since);
+        if (openRequestCount() > 0) {
+            connection.send(ClientFrames.noMoreRequests());
+            front.loop().schedule(front.clock().micros() + SECOND_NOTICE_DELAY_MICROS, connection,
+                    () -> connection.send(ClientFrames.noMoreRequests()));
+            scheduleDetach(since);
         }
-        drainFrom();
+        startDraining();
         return true;
     }
 
     @Override
-    public void ended(boolean wasUp) {
-        List<Request> unanswered = takeOpen();
+    public void onClosed(boolean wasConnected) {
+        List<Request> unanswered = removeAllOpenRequests();
         if (!unanswered.isEmpty()) {
-            front.log().info("client.left", "connection ended with requests open", "peer", peer.address(),
-                    "cause", peer.cause(), "open", ids(unanswered));
+            front.log().info("client.left", "connection closed with requests open", "peer", connection.address(),
+                    "cause", connection.closeCause(), "open", requestIds(unanswered));
         }
-        unanswered.forEach(request -> front.hold(-request.statement().length));
-        unanswered.forEach(front.core()::abandon);
-        allowance.end();
-        whenEnded.run();
+        unanswered.forEach(request -> front.addHeldBytes(-request.statement().length));
+        unanswered.forEach(front.dispatcher()::abandon);
+        activity.releaseBytes();
+        closeListener.run();
     }
 
-    private synchronized List<Request> openRequests() {
-        return List.copyOf(open.values());
+    private synchronized List<Request> copyOpenRequests() {
+        return List.copyOf(openRequests.values());
     }
 
-    /** The open requests, which no longer are: none of them can be answered any more. */
-    private synchronized List<Request> takeOpen() {
-        List<Request> taken = List.copyOf(open.values());
+    /** Removes and returns all open requests, which can no longer be answered. */
+    private synchronized List<Request> removeAllOpenRequests() {
+        List<Request> removed = List.copyOf(openRequests.values());
         draining = true;
-        open.clear();
-        return taken;
+        openRequests.clear();
+        return removed;
     }
 
-    private static String ids(List<Request> requests) {
+    private static String requestIds(List<Request> requests) {
         return requests.stream().map(Request::id).collect(Collectors.joining(" "));
     }
 
-    /** The request that was open on this stream, which no longer is; null if none was. */
-    private synchronized Request over(long stream) {
-        Request request = open.remove(stream);
+    /** Removes and returns the open request of a stream; null if there is none. */
+    private synchronized Request removeOpenRequest(long stream) {
+        Request request = openRequests.remove(stream);
         if (request != null) {
-            front.hold(-request.statement().length);
+            front.addHeldBytes(-request.statement().length);
         }
         return request;
     }
 
-    private void take(Frame frame, long now) {
+    private void handleFrame(Frame frame, long receivedAt) {
         switch (frame.type()) {
-            case ClientFrames.REQUEST -> request(frame, now);
-            case ClientFrames.WITHDRAWN -> withdraw(frame.stream());
+            case ClientFrames.REQUEST -> handleRequest(frame, receivedAt);
+            case ClientFrames.WITHDRAWN -> cancelRequest(frame.stream());
             case ClientFrames.READY_QUESTION ->
-                    peer.send(ClientFrames.ready(frame.stream(), front.core().ready()));
+                    connection.send(ClientFrames.ready(frame.stream(), front.dispatcher().ready()));
             default -> throw new ProtocolException("type " + frame.type() + " is not a client's");
         }
     }
 
-    private void withdraw(long stream) {
-        Request request = over(stream);
+    private void cancelRequest(long stream) {
+        Request request = removeOpenRequest(stream);
         if (request != null) {
-            front.core().abandon(request);
+            front.dispatcher().abandon(request);
         }
     }
 
-    private void request(Frame frame, long now) {
+    private void handleRequest(Frame frame, long receivedAt) {
         long stream = frame.stream();
         if (!usedStreams.use(stream)) {
-            // An answer on that stream could be taken for the answer to its first request.
+            // The client could mistake the answer for the answer to the first request on that stream.
             throw new ProtocolException("stream " + stream + " is not new on this connection");
         }
         if (frame.isDropped()) {
-            peer.send(say(stream, ClientFrames.CODE_REFUSED, "too much has begun and not ended"));
+            connection.send(textAnswer(stream, ClientFrames.CODE_REFUSED, "too much has begun and not ended"));
             return;
         }
-        if (openCount() >= front.limits().clients().openRequests()) {
-            peer.send(say(stream, ClientFrames.CODE_REFUSED,
+        if (openRequestCount() >= front.limits().clients().openRequests()) {
+            connection.send(textAnswer(stream, ClientFrames.CODE_REFUSED,
                     "over " + front.limits().clients().openRequests() + " open requests"));
             return;
         }
         try {
             Content content = ClientFrames.content(frame.payload());
-            take(stream, request(ClientRequest.read(content), stream, now));
+            submit(stream, toRequest(ClientRequest.read(content), stream, receivedAt));
         } catch (ProtocolException e) {
-            peer.send(say(stream, ClientFrames.CODE_FAILED, e.getMessage()));
-            faults++;
-            if (faults > front.limits().clients().openRequests()) {
+            connection.send(textAnswer(stream, ClientFrames.CODE_FAILED, e.getMessage()));
+            invalidRequestCount++;
+            if (invalidRequestCount > front.limits().clients().openRequests()) {
                 throw new ProtocolException("too many requests that can't be used");
             }
         }
     }
 
-    private synchronized int openCount() {
-        return open.size();
+    private synchronized int openRequestCount() {
+        return openRequests.size();
     }
 
-    private void take(long stream, Request request) {
-        if (!front.hold(request.statement().length)) {
-            front.hold(-request.statement().length);
-            peer.send(say(stream, ClientFrames.CODE_REFUSED, "too much is open"));
+    private void submit(long stream, Request request) {
+        if (!front.addHeldBytes(request.statement().length)) {
+            front.addHeldBytes(-request.statement().length);
+            connection.send(textAnswer(stream, ClientFrames.CODE_REFUSED, "too much is open"));
             return;
         }
         synchronized (this) {
-            open.put(stream, request);
+            openRequests.put(stream, request);
         }
-        front.core().take(request);
+        front.dispatcher().take(request);
     }
 
-    private Request request(ClientRequest r, long stream, long now) {
-        ClientFront.ClassRequirements rules = front.classes().get(r.type());
-        if (rules == null) {
-            throw new ProtocolException("op names no class: " + r.type());
+    private Request toRequest(ClientRequest message, long stream, long receivedAt) {
+        ClientFront.ClassRequirements requirements = front.classRequirements().get(message.type());
+        if (requirements == null) {
+            throw new ProtocolException("op names no class: " + message.type());
         }
-        if (rules.keyed() && r.repeatKey() == null) {
-            throw new ProtocolException("dedupe is missing for class " + r.type());
+        if (requirements.needsIdempotencyKey() && message.repeatKey() == null) {
+            throw new ProtocolException("dedupe is missing for class " + message.type());
         }
-        if (rules.ordered() && r.order() == null) {
-            throw new ProtocolException("row is missing for class " + r.type());
+        if (requirements.needsOrderingKey() && message.order() == null) {
+            throw new ProtocolException("row is missing for class " + message.type());
         }
-        return new Request(r.id(), r.type(), r.statement(), rules.keyed() ? r.repeatKey() : null,
-                rules.ordered() ? r.order() : null, now, Clock.ofMillis(r.ttlMs()), r.workMicros(), r.memory(), r.tables(),
-                (request, answer) -> answered(stream, answer));
-    }
-
-    /** On the core's thread. No other thread may find this stream closed before its answer waits to be written. */
-    private synchronized void answered(long stream, Answer answer) {
-        if (over(stream) == null) {
+        return new Request(message.id(), message.type(), message.statement(),
+                requirements.needsIdempotencyKey() ? message.repeatKey() : null,
+                requirements.needsOrderingKey() ? message.order() : null, receivedAt, Clock.ofMillis(message.ttlMs()),
+                message.workMicros(), message.memory(), message.tables(), (request, answer) -> sendAnswer(stream, answer));
+    }
+
+    /**
+     * Called on the dispatcher's thread. Synchronized, so that no other thread finds the request closed before its answer is
+     * enqueued.
+     */
+    private synchronized void sendAnswer(long stream, Answer answer) {
+        if (removeOpenRequest(stream) == null) {
             return;
         }
-        allowance.answered(front.clock().micros());
+        activity.onAnswered(front.clock().micros());
         int code = switch (answer.kind()) {
             case SERVED -> ClientFrames.CODE_SERVED;
             case REFUSED -> ClientFrames.CODE_REFUSED;
             case FAILED -> ClientFrames.CODE_FAILED;
         };
-        peer.send(ClientFrames.answer(stream, code, Map.of(), answer.rows()));
+        connection.send(ClientFrames.answer(stream, code, Map.of(), answer.rows()));
         finishIfAnswered();
     }
 
-    private static byte[] error(String problem) {
-        return say(0, ClientFrames.CODE_FAILED, problem);
+    private static byte[] errorFrame(String problem) {
+        return textAnswer(0, ClientFrames.CODE_FAILED, problem);
     }
 
-    private static byte[] say(long stream, int code, String problem) {
+    private static byte[] textAnswer(long stream, int code, String problem) {
         return ClientFrames.answer(stream, code, Map.of(), problem.getBytes(StandardCharsets.UTF_8));
     }
 }
--- a/src/main/java/cairnline/transport/EventLoop.java
+++ b/src/main/java/cairnline/transport/EventLoop.java
@@ -15,9 +15,9 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 
 /**
- * One thread that serves any number of non-blocking channels, their timers, and tasks that other threads leave. The number
- * of threads is thus independent of the number of connections. Callbacks must not block for long; one that throws ends only
- * what it served.
+ * One thread that serves any number of non-blocking channels, their timers, and tasks submitted by other threads, so that
+ * the number of threads does not depend on the number of connections. Callbacks must not block for long; one that throws
+ * closes only the channel that it served.
  */
 public final class EventLoop implements AutoCloseable {
     private static final int READ_BUFFER_BYTES = 16_384;
@@ -29,27 +29,28 @@
     private final Queue<Runnable> tasks = new ConcurrentLinkedQueue<>();
     private final AtomicBoolean wakeupPending = new AtomicBoolean();
     private final TreeSet<Timer> timers =
-            new TreeSet<>(Comparator.comparingLong(Timer::due).thenComparingLong(Timer::number));
+            new TreeSet<>(Comparator.comparingLong(Timer::dueAt).thenComparingLong(Timer::sequence));
     private final ByteBuffer readBuffer = ByteBuffer.allocate(READ_BUFFER_BYTES);
-    private long timerCount;
-    /** When the selector was last asked, and no channel but those it gave was ready. */
-    private long polledAt;
-    private long arrivedSince;
+    private long nextTimerSequence;
+    /** When the selector was last polled; channels that it did not return had nothing to read then. */
+    private long lastPollAt;
+    /** See {@link #earliestArrival()}. */
+    private long earliestArrival;
     private volatile boolean closed;
 
-    /** What a registered channel's readiness is told to. */
+    /** Receives the readiness events of a registered channel, on the loop's thread. */
     interface Handler {
-        /** The channel is ready for what its key says. */
-        void ready(SelectionKey key);
+        /** Handles a channel that is ready for its key's ready operations. */
+        void onReady(SelectionKey key);
 
-        /** {@link #ready} or a timer of this channel threw: the channel must be given up. */
-        void failed(Throwable cause);
+        /** Handles an exception from {@link #onReady} or from a timer of this channel, which must be closed. */
+        void onFailure(Throwable failure);
     }
 
-    /** A task that is due at a time, in microseconds on the loop's clock. */
-    record Timer(long due, long number, Handler owner, Runnable task) { }
+    /** A task to run at {@code dueAt}, in microseconds on the loop's clock; {@code sequence} orders timers of the same time. */
+    record Timer(long dueAt, long sequence, Handler owner, Runnable task) { }
 
-    /** A loop that does not run yet; the stack is in bytes. Throws if the system has no descriptor for its selector. */
+    /** Creates a loop, not yet started. Throws if the system has no file descriptor left for its selector. */
     public EventLoop(String name, int stackBytes, Clock clock) throws IOException {
         this.clock = clock;
         this.selector = Selector.open();
@@ -62,12 +63,12 @@
         thread.start();
     }
 
-    /** The clock by which its timers go. */
+    /** Returns the clock of the loop's timers. */
     public Clock clock() {
         return clock;
     }
 
-    /** Leaves a task for the loop's thread; tasks run in the order left. Any thread may call. */
+    /** Submits a task to the loop's thread; tasks run in the order of submission. Safe for any thread. */
     void execute(Runnable task) {
         tasks.add(task);
         if (Thread.currentThread() != thread && wakeupPending.compareAndSet(false, true)) {
@@ -80,14 +81,14 @@
         return channel.register(selector, operations, handler);
     }
 
-    /** Runs a task at a time in microseconds, unless it is cancelled before; on the loop's thread. */
-    Timer schedule(long due, Handler owner, Runnable task) {
-        Timer timer = new Timer(due, timerCount++, owner, task);
+    /** Schedules a task for a time in microseconds; its failure is reported to {@code owner}, if any. On the loop's thread. */
+    Timer schedule(long dueAt, Handler owner, Runnable task) {
+        Timer timer = new Timer(dueAt, nextTimerSequence++, owner, task);
         timers.add(timer);
         return timer;
     }
 
-    /** Takes a timer back; one that has fired or is null is ignored. On the loop's thread. */
+    /** Cancels a timer; a timer that has fired, or null, is ignored. On the loop's thread. */
     void cancel(Timer timer) {
         if (timer != null) {
             timers.remove(timer);
@@ -95,19 +96,19 @@
     }
 
     /**
-     * The earliest time at which what a ready channel holds can have come, as far as it was read out before: since the
-     * selector was last asked, which is long ago where a round took long.
+     * Returns the earliest time at which the data of a ready channel can have arrived, provided that the channel was read
+     * empty before: the time of the previous poll, which is long ago after a long round.
      */
-    long arrivedSince() {
-        return arrivedSince;
+    long earliestArrival() {
+        return earliestArrival;
     }
 
-    /** A buffer that any callback may use until it returns. */
+    /** Returns the loop's shared read buffer, which a callback may use until it returns. */
     ByteBuffer readBuffer() {
         return readBuffer.clear();
     }
 
-    /** Ends the thread; channels are left as they are. */
+    /** Stops the thread; registered channels stay open. */
     @Override
     public void close() {
         closed = true;
@@ -115,7 +116,7 @@
     }
 
     private void run() {
-        polledAt = clock.micros();
+        lastPollAt = clock.micros();
         while (!closed) {
             select();
             wakeupPending.set(false);
@@ -127,80 +128,80 @@
 
     private void select() {
         try {
-            arrivedSince = polledAt;
-            polledAt = clock.micros();
-            int ready = selector.selectNow();
-            // That has used up a wake-up: whoever leaves a task from here on must give another.
+            earliestArrival = lastPollAt;
+            lastPollAt = clock.micros();
+            int readyCount = selector.selectNow();
+            // The poll may have consumed a wake-up, so a task submitted from here on must trigger another.
             wakeupPending.set(false);
-            if (ready == 0) {
-                arrivedSince = polledAt;
-                await();
+            if (readyCount == 0) {
+                earliestArrival = lastPollAt;
+                awaitReadiness();
             }
         } catch (IOException e) {
-            throw new IllegalStateException("the selector failed", e);
+            throw new IllegalStateException("selector failed", e);
         }
     }
 
-    /** Waits until something is ready; nothing was when the selector was asked before. */
-    private void await() throws IOException {
-        long wait = tasks.isEmpty() ? untilNextTimer() : 0;
-        if (wait == Long.MAX_VALUE) {
+    /** Blocks until a channel is ready, a task is submitted or a timer is due. */
+    private void awaitReadiness() throws IOException {
+        long waitMillis = tasks.isEmpty() ? millisUntilNextTimer() : 0;
+        if (waitMillis == Long.MAX_VALUE) {
             selector.select();
-        } else if (wait > 0) {
-            selector.select(wait);
+        } else if (waitMillis > 0) {
+            selector.select(waitMillis);
         }
     }
 
-    /** Milliseconds until the next timer is due, rounded up; 0 if one is due. */
-    private long untilNextTimer() {
+    /** Returns the time until the next timer, rounded up; 0 if one is due, {@code Long.MAX_VALUE} without timers. */
+    private long millisUntilNextTimer() {
         if (timers.isEmpty()) {
             return Long.MAX_VALUE;
         }
-        long left = timers.first().due() - clock.micros();
-        return left <= 0 ? 0 : (left + MICROS_PER_MILLI - 1) / MICROS_PER_MILLI;
+        long micros = timers.first().dueAt() - clock.micros();
+        return micros <= 0 ? 0 : (micros + MICROS_PER_MILLI - 1) / MICROS_PER_MILLI;
     }
 
     private void serveReady() {
-        Iterator<SelectionKey> ready = selector.selectedKeys().iterator();
-        while (ready.hasNext()) {
-            SelectionKey key = ready.next();
-            ready.remove();
+        Iterator<SelectionKey> readyKeys = selector.selectedKeys().iterator();
+        while (readyKeys.hasNext()) {
+            SelectionKey key = readyKeys.next();
+            readyKeys.remove();
             if (key.isValid()) {
                 Handler handler = (Handler) key.attachment();
-                guarded(handler, () -> handler.ready(key));
+                runGuarded(handler, () -> handler.onReady(key));
             }
         }
     }
 
-    /** Runs the tasks that are there now; those that they leave wait for the next round, after channels were looked at. */
+    /** Runs the tasks queued now; tasks that they submit wait for the next round, so that channels are served in between. */
     private void runTasks() {
         int count = tasks.size();
         for (int i = 0; i < count; i++) {
-            guarded(null, tasks.poll());
+            runGuarded(null, tasks.poll());
         }
     }
 
     private void runTimers() {
         long now = clock.micros();
-        while (!timers.isEmpty() && timers.first().due() <= now) {
+        while (!timers.isEmpty() && timers.first().dueAt() <= now) {
             Timer timer = timers.pollFirst();
-            guarded(timer.owner(), timer.task());
+            runGuarded(timer.owner(), timer.task());
         }
     }
 
-    /** Tells the handler of uncaught errors of one that ends only what it served. */
-    static void report(Throwable failure) {
+    /** Passes a failure that does not end the thread to the thread's uncaught exception handler. */
+    static void reportUncaught(Throwable failure) {
         Thread current = Thread.currentThread();
         current.getUncaughtExceptionHandler().uncaughtException(current, failure);
     }
 
-    private static void guarded(Handler owner, Runnable task) {
+    private static void runGuarded(Handler owner, Runnable task) {
         try {
             task.run();
         } catch (RuntimeException | OutOfMemoryError e) {
-            report(e);
+            reportUncaught(e);
             if (owner != null) {
-                owner.failed(e);
+                owner.onFailure(e);
             }
         }
     }
--- a/src/main/java/cairnline/transport/FeedClient.java
+++ b/src/main/java/cairnline/transport/FeedClient.java
@@ -17,9 +17,9 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-/** Follows the control feed: resumes after the last event, and comes back after a pause when it is lost. */
+/** Subscribes to the control feed. Reconnects after a delay when the connection is lost, and resumes after the last event. */
 public final class FeedClient {
-    private static final int READ_SIZE = 8192;
+    private static final int READ_BUFFER_BYTES = 8192;
 
     private final EngineList list;
     private final Limits limits;
@@ -27,11 +27,11 @@
     private final WallClock wallClock;
     private final Events log;
     private InetSocketAddress address;
-    private boolean asked;
-    /** The connection to that address; closing it wakes the thread that follows. */
+    private boolean firstReadReported;
+    /** The connection to {@link #address}; closing it interrupts the reading thread. */
     private Socket socket = new Socket();
 
-    /** A client that does not follow yet. */
+    /** Creates a client, not yet started. */
     public FeedClient(InetSocketAddress address, EngineList list, Limits limits, Clock clock, WallClock wallClock,
                       Events log) {
         this.address = address;
@@ -42,60 +42,61 @@
         this.log = log;
     }
 
-    /** Starts to follow. */
+    /** Starts the thread that reads the feed. */
     public void start() {
-        Threads.startVital("feed", limits.routing().stackBytes(), this::follow);
+        Threads.startCritical("feed", limits.routing().stackBytes(), this::run);
     }
 
-    /** From now on the feed is at this address; its numbers go on. */
-    public synchronized void follow(InetSocketAddress next) {
-        if (!next.equals(address)) {
-            address = next;
+    /** Reconnects to another address of the same feed, whose event numbers continue. Safe for any thread. */
+    public synchronized void changeAddress(InetSocketAddress newAddress) {
+        if (!newAddress.equals(address)) {
+            address = newAddress;
             Threads.close(socket);
             notifyAll();
         }
     }
 
-    private void follow() {
-        boolean lost = false;
-        InetSocketAddress at;
+    private void run() {
+        boolean unreachable = false;
+        InetSocketAddress currentAddress;
         do {
-            Socket opened = new Socket();
-            at = use(opened);
-            try (opened) {
-                opened.connect(at, (int) Clock.toMillis(limits.feed().connect()));
-                opened.getOutputStream().write(("SUB " + list.last() + "\n").getBytes(StandardCharsets.US_ASCII));
-                read(opened, lost);
+            Socket newSocket = new Socket();
+            currentAddress = registerSocket(newSocket);
+            try (newSocket) {
+                newSocket.connect(currentAddress, (int) Clock.toMillis(limits.feed().connect()));
+                newSocket.getOutputStream().write(("SUB " + list.last() + "\n").getBytes(StandardCharsets.US_ASCII));
+                read(newSocket, unreachable);
             } catch (IOException | RuntimeException e) {
-                // Also on what no reader foresees: without this thread the list would stand still for good.
-                if (!lost) {
-                    log.warn("feed.lost", "control feed lost: " + e.getMessage(), "address", at);
+                // Unexpected exceptions too: if this thread ended, the engine list would never be updated again.
+                if (!unreachable) {
+                    log.warn("feed.lost", "control feed unreachable: " + e.getMessage(), "address", currentAddress);
                 }
             }
-            asked();
-            lost = true;
-        } while (pause(at));
+            reportFirstRead();
+            unreachable = true;
+        } while (awaitReconnect(currentAddress));
     }
 
-    /** Tells once that the feed was asked for the first time. */
-    private void asked() {
-        if (!asked) {
-            asked = true;
+    /** Reports, once, that the first read of the feed has completed or failed. */
+    private void reportFirstRead() {
+        if (!firstReadReported) {
+            firstReadReported = true;
             list.asked();
         }
     }
 
-    private synchronized InetSocketAddress use(Socket opened) {
-        socket = opened;
+    private synchronized InetSocketAddress registerSocket(Socket newSocket) {
+        socket = newSocket;
         return address;
     }
 
-    /** Waits before that address is asked again; not at all once there is another. */
-    private synchronized boolean pause(InetSocketAddress asked) {
-        long until = clock.micros() + limits.feed().pause();
+    /** Waits for the reconnect delay, or until the address is no longer {@code previous}; false if interrupted. */
+    private synchronized boolean awaitReconnect(InetSocketAddress previous) {
+        long retryAt = clock.micros() + limits.feed().pause();
         try {
-            for (long left = limits.feed().pause(); left > 0 && asked.equals(address); left = until - clock.micros()) {
-                wait(Clock.toMillis(left));
+            for (long remaining = limits.feed().pause(); remaining > 0 && previous.equals(address);
+                    remaining = retryAt - clock.micros()) {
+                wait(Clock.toMillis(remaining));
             }
             return true;
         } catch (InterruptedException e) {
@@ -103,72 +104,72 @@
         }
     }
 
-    private void read(Socket from, boolean wasLost) throws IOException {
+    private void read(Socket source, boolean wasUnreachable) throws IOException {
         ByteQueue bytes = new ByteQueue();
-        byte[] buffer = new byte[READ_SIZE];
-        int searched = 0;
-        if (wasLost) {
-            log.info("feed.reached", "control feed reached again");
+        byte[] buffer = new byte[READ_BUFFER_BYTES];
+        int scannedBytes = 0;
+        if (wasUnreachable) {
+            log.info("feed.reached", "control feed connected again");
         }
-        long silentAt = clock.micros() + limits.feed().silence();
-        for (int count = first(from, buffer); count >= 0; count = receive(from, buffer, silentAt)) {
+        long deadline = clock.micros() + limits.feed().silence();
+        for (int count = readFirst(source, buffer); count >= 0; count = receive(source, buffer, deadline)) {
             bytes.feed(buffer, 0, count);
-            for (int end = bytes.indexOf('\n', searched); end >= 0; end = bytes.indexOf('\n', 0)) {
-                changed(FeedEvent.line(bytes.take(end)));
+            for (int lineEnd = bytes.indexOf('\n', scannedBytes); lineEnd >= 0; lineEnd = bytes.indexOf('\n', 0)) {
+                applyEvent(FeedEvent.line(bytes.take(lineEnd)));
                 bytes.skip(1);
-                silentAt = clock.micros() + limits.feed().silence();
+                deadline = clock.micros() + limits.feed().silence();
             }
-            asked();
-            searched = bytes.size();
-            if (searched > limits.feed().lineBytes()) {
-                throw new ProtocolException("a line is longer than " + limits.feed().lineBytes());
+            reportFirstRead();
+            scannedBytes = bytes.size();
+            if (scannedBytes > limits.feed().lineBytes()) {
+                throw new ProtocolException("line longer than " + limits.feed().lineBytes() + " bytes");
             }
         }
-        throw new IOException("it closed the connection");
+        throw new IOException("connection closed by the feed");
     }
 
-    /** What the feed has to tell at once; nothing if it has nothing new, and tells that only with its next sign of life. */
-    private int first(Socket from, byte[] buffer) throws IOException {
+    /** Reads the first bytes; 0 if none arrive in time, since a feed without news sends nothing until its next heartbeat. */
+    private int readFirst(Socket source, byte[] buffer) throws IOException {
         try {
-            return receive(from, buffer, clock.micros() + limits.feed().firstTold());
+            return receive(source, buffer, clock.micros() + limits.feed().firstTold());
         } catch (SocketTimeoutException e) {
             return 0;
         }
     }
 
-    /** Only whole lines are a sign of life: a feed may stop in the middle of one, or drip. */
-    private int receive(Socket from, byte[] buffer, long silentAt) throws IOException {
-        long left = silentAt - clock.micros();
-        if (left <= 0) {
-            throw new SocketTimeoutException("it tells nothing whole");
+    /** Reads bytes. Only complete lines extend the deadline: a feed may stop within a line, or send single bytes indefinitely. */
+    private int receive(Socket source, byte[] buffer, long deadline) throws IOException {
+        long remainingMicros = deadline - clock.micros();
+        if (remainingMicros <= 0) {
+            throw new SocketTimeoutException("no complete line received in time");
         }
-        from.setSoTimeout((int) Clock.toMillis(left));
-        return from.getInputStream().read(buffer);
+        source.setSoTimeout((int) Clock.toMillis(remainingMicros));
+        return source.getInputStream().read(buffer);
     }
 
-    private void changed(FeedEvent event) {
+    private void applyEvent(FeedEvent event) {
         wallClock.sample();
         if (event != null) {
-            list.changed(event.number(), event.whole(), entries(event, wallClock));
+            list.changed(event.number(), event.whole(), toListedEngines(event, wallClock));
         }
     }
 
-    /** The entries of an event in the core's terms; null if it does not change the list. */
-    public static List<ListedEngine> entries(FeedEvent event, WallClock wallClock) {
-        return event.hosts() == null ? null : event.hosts().stream().map(host -> entry(host, wallClock)).toList();
+    /** Converts the entries of an event for the dispatcher; null if the event does not change the list. */
+    public static List<ListedEngine> toListedEngines(FeedEvent event, WallClock wallClock) {
+        return event.hosts() == null ? null : event.hosts().stream().map(entry -> toListedEngine(entry, wallClock)).toList();
     }
 
-    private static ListedEngine entry(FeedEvent.Host host, WallClock wallClock) {
-        Listed listed = switch (host.state()) {
+    private static ListedEngine toListedEngine(FeedEvent.Host entry, WallClock wallClock) {
+        Listed status = switch (entry.state()) {
             case IN_SERVICE -> Listed.READY;
             case TERMINATING -> Listed.DRAINING;
             case TERMINATED -> Listed.GONE;
         };
-        long startedAt = wallClock.startOf(host.id(), Clock.ofUnix(host.bornMs()));
-        if (listed == Listed.GONE) {
-            wallClock.forget(host.id());
+        long startedAt = wallClock.startOf(entry.id(), Clock.ofUnix(entry.bornMs()));
+        if (status == Listed.GONE) {
+            wallClock.forget(entry.id());
         }
-        return new ListedEngine(host.id(), host.address(), listed, host.zone(), host.kind(), host.cell(),
-                host.weight(), startedAt);
+        return new ListedEngine(entry.id(), entry.address(), status, entry.zone(), entry.kind(), entry.cell(),
+                entry.weight(), startedAt);
     }
 }
--- a/src/main/java/cairnline/transport/HttpConnection.java
+++ b/src/main/java/cairnline/transport/HttpConnection.java
@@ -12,61 +12,62 @@
 import java.util.Map;
 
 /**
- * One connection to an OData engine, with one attempt on it at a time. An attempt that is given up ends its connection,
- * so that no later attempt can meet its answer; nothing calls the core under this lock.
+ * One connection to an OData engine, for one attempt at a time. Cancelling an attempt closes its connection, so that a later
+ * attempt can't receive its answer. The dispatcher is never called with this object's lock held, since its mailbox may be
+ * full.
  */
 final class HttpConnection implements TcpConnection.Handler, PooledLink.Connection {
-    private static final int FULL = 503;
-    private static final int TOO_MANY = 429;
-    private static final int ERRORS = 500;
-    private static final int NOT_IMPLEMENTED = 501;
+    private static final int STATUS_UNAVAILABLE = 503;
+    private static final int STATUS_TOO_MANY_REQUESTS = 429;
+    private static final int MIN_SERVER_ERROR_STATUS = 500;
+    private static final int STATUS_NOT_IMPLEMENTED = 501;
 
     private final HttpLink link;
     private final InetSocketAddress address;
-    private final Core core;
+    private final Core dispatcher;
     private final Limits limits;
-    private final TcpConnection peer;
-    private final HttpDecoder answers;
+    private final TcpConnection connection;
+    private final HttpDecoder decoder;
     private Attempt attempt;
-    private boolean written;
-    private boolean over;
-    /** Only the reading thread touches this. */
+    private boolean requestWritten;
+    private boolean closed;
+    /** The pages of the current answer; confined to the event loop, like {@link #pageCount}. */
     private ODataPages pages = new ODataPages();
     private int pageCount;
 
-    HttpConnection(HttpLink link, InetSocketAddress address, Core core, Limits limits, EventLoop loop) {
+    HttpConnection(HttpLink link, InetSocketAddress address, Core dispatcher, Limits limits, EventLoop loop) {
         this.link = link;
         this.address = address;
-        this.core = core;
+        this.dispatcher = dispatcher;
         this.limits = limits;
-        this.peer = TcpConnection.connecting(loop, limits, this);
-        this.answers = new HttpDecoder(limits.http().headBytes(), limits.http().bodyBytes());
+        this.connection = TcpConnection.unconnected(loop, limits, this);
+        this.decoder = new HttpDecoder(limits.http().headBytes(), limits.http().bodyBytes());
     }
 
     void connect() {
-        peer.connect(address);
+        connection.connect(address);
     }
 
     @Override
     public synchronized boolean isClosed() {
-        return over;
+        return closed;
     }
 
     @Override
     public synchronized boolean isIdle() {
-        return !over && attempt == null;
+        return !closed && attempt == null;
     }
 
-    /** False if it is taken or over. */
-    boolean start(Attempt next) {
+    /** Starts an attempt; false if the connection is in use or closed, or its mailbox is full. */
+    boolean start(Attempt newAttempt) {
         synchronized (this) {
-            if (over || attempt != null) {
+            if (closed || attempt != null) {
                 return false;
             }
-            attempt = next;
-            written = false;
+            attempt = newAttempt;
+            requestWritten = false;
         }
-        if (peer.ask(now -> command(next, now))) {
+        if (connection.enqueueIfRoom(now -> encodeRequest(newAttempt, now))) {
             return true;
         }
         synchronized (this) {
@@ -75,23 +76,23 @@
         return false;
     }
 
-    /** The request, if it may still leave when its turn comes. */
-    private byte[] command(Attempt next, long now) {
-        boolean allowed = now <= link.lastSend() && now < next.endsAt() && next.mayBegin();
+    /** Encodes the request when its turn to be written has come; null if it must not be sent any more. */
+    private byte[] encodeRequest(Attempt newAttempt, long now) {
+        boolean allowed = now <= link.sendDeadline() && now < newAttempt.endsAt() && newAttempt.mayBegin();
         synchronized (this) {
-            if (attempt != next) {
+            if (attempt != newAttempt) {
                 return null;
             }
-            written = allowed;
+            requestWritten = allowed;
             if (!allowed) {
                 attempt = null;
             }
         }
         if (!allowed) {
-            core.ended(next, Attempt.Result.of(End.NOT_SENT));
+            dispatcher.ended(newAttempt, Attempt.Result.of(End.NOT_SENT));
             return null;
         }
-        return withHost(HttpMessage.of(next.request().statement()));
+        return withHost(HttpMessage.of(newAttempt.request().statement()));
     }
 
     private byte[] withHost(HttpMessage request) {
@@ -99,96 +100,96 @@
     }
 
     @Override
-    public void giveUp(Attempt given) {
+    public void cancel(Attempt cancelled) {
         synchronized (this) {
-            if (attempt != given) {
+            if (attempt != cancelled) {
                 return;
             }
             attempt = null;
-            over = true;
+            closed = true;
         }
         close();
     }
 
     @Override
     public void close() {
-        peer.close();
+        connection.close();
     }
 
     @Override
-    public void read(byte[] bytes, int count, long now) {
+    public void onRead(byte[] bytes, int count, long receivedAt) {
         if (isClosed()) {
             return;
         }
         try {
-            answers.feed(bytes, count);
-            for (HttpMessage answer = answers.next(); answer != null; answer = answers.next()) {
-                take(answer);
+            decoder.feed(bytes, count);
+            for (HttpMessage answer = decoder.next(); answer != null; answer = decoder.next()) {
+                handleAnswer(answer);
             }
         } catch (ProtocolException e) {
             synchronized (this) {
-                over = true;
+                closed = true;
             }
             close();
         }
     }
 
-    private void take(HttpMessage answer) {
-        Attempt now = current();
-        if (now == null) {
-            // Nothing was asked, so the two ends no longer agree on what answers what.
+    private void handleAnswer(HttpMessage answer) {
+        Attempt current = currentAttempt();
+        if (current == null) {
+            // No request is open, so answers can no longer be matched to requests.
             close();
             return;
         }
         int status = answer.status();
-        if (status == FULL || status == TOO_MANY) {
-            end(answer, Attempt.Result.of(End.FULL));
-        } else if (status >= ERRORS && status != NOT_IMPLEMENTED) {
-            end(answer, Attempt.Result.of(End.ERROR));
+        if (status == STATUS_UNAVAILABLE || status == STATUS_TOO_MANY_REQUESTS) {
+            endAttempt(answer, Attempt.Result.of(End.FULL));
+        } else if (status >= MIN_SERVER_ERROR_STATUS && status != STATUS_NOT_IMPLEMENTED) {
+            endAttempt(answer, Attempt.Result.of(End.ERROR));
         } else {
-            page(now, answer);
+            handlePage(current, answer);
         }
     }
 
-    /** Joins the pages; the attempt ends well only with the last, and a page that is lost fails it. */
-    private void page(Attempt now, HttpMessage answer) {
-        boolean good = answer.status() / 100 == 2 || pageCount == 0;
-        String next = null;
+    /** Adds a page to the answer; the attempt succeeds only with the last page, and a missing page fails it. */
+    private void handlePage(Attempt current, HttpMessage answer) {
+        boolean usable = answer.status() / 100 == 2 || pageCount == 0;
+        String nextTarget = null;
         try {
-            next = good ? pages.take(answer) : null;
+            nextTarget = usable ? pages.take(answer) : null;
             pageCount++;
         } catch (ProtocolException e) {
-            good = false;
+            usable = false;
         }
-        if (!good || pageCount > limits.http().pages()) {
-            end(answer, Attempt.Result.of(End.ERROR));
-        } else if (next != null && now.wanted() && !answer.closes()) {
-            peer.send(withHost(HttpMessage.request("GET", next, Map.of("accept", "application/json"),
+        if (!usable || pageCount > limits.http().pages()) {
+            endAttempt(answer, Attempt.Result.of(End.ERROR));
+        } else if (nextTarget != null && current.wanted() && !answer.closes()) {
+            connection.send(withHost(HttpMessage.request("GET", nextTarget, Map.of("accept", "application/json"),
                     new byte[0])));
-        } else if (next != null && now.wanted()) {
-            end(answer, Attempt.Result.of(End.ERROR));
+        } else if (nextTarget != null && current.wanted()) {
+            endAttempt(answer, Attempt.Result.of(End.ERROR));
         } else {
-            byte[] whole = pages.whole().bytes();
-            end(answer, whole.length > limits.http().bodyBytes() ? Attempt.Result.of(End.ERROR)
-                    : new Attempt.Result(End.OK, whole, 0, 0));
+            byte[] joined = pages.whole().bytes();
+            endAttempt(answer, joined.length > limits.http().bodyBytes() ? Attempt.Result.of(End.ERROR)
+                    : new Attempt.Result(End.OK, joined, 0, 0));
         }
     }
 
-    private synchronized Attempt current() {
+    private synchronized Attempt currentAttempt() {
         return attempt;
     }
 
-    private void end(HttpMessage answer, Attempt.Result result) {
+    private void endAttempt(HttpMessage answer, Attempt.Result result) {
         pages = new ODataPages();
         pageCount = 0;
         Attempt ended;
         synchronized (this) {
             ended = attempt;
             attempt = null;
-            over |= answer.closes();
+            closed |= answer.closes();
         }
         if (ended != null) {
-            core.ended(ended, result);
+            dispatcher.ended(ended, result);
         }
         if (answer.closes()) {
             close();
@@ -196,28 +197,28 @@
     }
 
     @Override
-    public long due(long lastRead) {
-        return lastRead + limits.engines().idle();
+    public long timeoutAt(long lastReadAt) {
+        return lastReadAt + limits.engines().idle();
     }
 
-    /** Decides and marks in one step, so that no attempt starts on a connection about to close. */
+    /** Decides and marks the connection closed atomically, so that no attempt starts on a connection about to close. */
     @Override
-    public synchronized boolean quiet(long now) {
-        over |= attempt == null;
-        return !over;
+    public synchronized boolean onTimeout(long now) {
+        closed |= attempt == null;
+        return !closed;
     }
 
     @Override
-    public void ended(boolean wasUp) {
+    public void onClosed(boolean wasConnected) {
         Attempt lost;
         synchronized (this) {
-            over = true;
+            closed = true;
             lost = attempt;
             attempt = null;
         }
         if (lost != null) {
-            End end = written ? End.RESET : wasUp ? End.NOT_SENT : End.CONNECT_FAILED;
-            core.ended(lost, Attempt.Result.of(end));
+            End status = requestWritten ? End.RESET : wasConnected ? End.NOT_SENT : End.CONNECT_FAILED;
+            dispatcher.ended(lost, Attempt.Result.of(status));
         }
     }
 }
--- a/src/main/java/cairnline/transport/HttpLink.java
+++ b/src/main/java/cairnline/transport/HttpLink.java
@@ -8,28 +8,28 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** The way to one engine that speaks OData; each connection carries one request at a time. */
+/** The connections to one engine that speaks OData; each carries one request at a time. */
 public final class HttpLink extends PooledLink<HttpConnection> {
     private final InetSocketAddress address;
-    private final Core core;
+    private final Core dispatcher;
     private final Limits limits;
     private final EventLoop loop;
 
-    /** A link without a connection. */
-    public HttpLink(InetSocketAddress address, Core core, Limits limits, EventLoop loop,
+    /** Creates a link, which connects when it sends its first attempt. */
+    public HttpLink(InetSocketAddress address, Core dispatcher, Limits limits, EventLoop loop,
                     ConnectionBudget<Connection> budget) {
         super(limits.http().connections(), budget, loop.clock());
         this.address = address;
-        this.core = core;
+        this.dispatcher = dispatcher;
         this.limits = limits;
         this.loop = loop;
     }
 
     @Override
     public boolean send(Attempt attempt) {
-        HttpConnection connection = connection(HttpConnection::isIdle, free -> 0, 1, () -> {
-            // Connecting comes first: the request's letter must find the socket up.
-            HttpConnection opened = new HttpConnection(this, address, core, limits, loop);
+        HttpConnection connection = acquire(HttpConnection::isIdle, candidate -> 0, 1, () -> {
+            // Connect before the request is enqueued, since it is written only on a connected socket.
+            HttpConnection opened = new HttpConnection(this, address, dispatcher, limits, loop);
             opened.connect();
             return opened;
         });
@@ -38,12 +38,12 @@
 
     @Override
     public void prioritise(Attempt attempt, int priority) {
-        // OData has no word for the priority of a request that runs.
+        // OData cannot change the priority of a running request.
     }
 
     @Override
     public boolean probe(Consumer<Map<String, Double>> answer) {
-        // Nor has it one for an engine's load.
+        // OData cannot query the load of an engine.
         return false;
     }
 }
--- a/src/main/java/cairnline/transport/Listener.java
+++ b/src/main/java/cairnline/transport/Listener.java
@@ -17,86 +17,93 @@
 import java.util.function.Function;
 
 /**
- * Accepts connections at one address, up to a cap, and keeps those that are open. All of it happens on the event loop, so
- * that a connection counts until its descriptor is free.
+ * Accepts connections at one address up to a limit, and tracks the open ones. All work happens on the event loop, so that a
+ * connection counts against the limit until its file descriptor is released.
  */
 public final class Listener implements EventLoop.Handler {
-    private static final int BACKLOG = 1_024;
-    /** Connections accepted before others are served again. */
-    private static final int ACCEPTS_PER_ROUND = 8;
-    /** So many calls in a row that give nothing show that nothing waits. */
-    private static final int CALLS_FOR_NONE = 4;
-    private static final long RETRY_ACCEPT_MICROS = 10_000;
-    private static final long REPORT_EVERY_MICROS = 1_000_000;
+    private static final int BACKLOG_CONNECTIONS = 1_024;
+    /** Keeps a burst of new connections from starving the open ones. */
+    private static final int MAX_ACCEPTS_PER_ROUND = 8;
+    /** An interrupted accept returns null too, so only several null results in a row show that no connection waits. */
+    private static final int ACCEPT_CALLS_TO_CONFIRM_EMPTY = 4;
+    private static final long ACCEPT_RETRY_DELAY_MICROS = 10_000;
+    private static final long REPORT_INTERVAL_MICROS = 1_000_000;
 
     private final ServerSocketChannel server;
     private final EventLoop loop;
     private final Limits limits;
-    private final int most;
+    private final int maxConnections;
     private final Clock clock;
     private final Events log;
-    private Function<SocketChannel, Session> open;
+    private Function<SocketChannel, Session> sessionFactory;
 
-    /* Only the loop's thread touches what follows. */
+    /* The fields below are confined to the loop's thread, except that any thread may read sessionCount. */
     private final Set<Session> sessions = new LinkedHashSet<>();
     private volatile int sessionCount;
     private SelectionKey key;
-    private Runnable whenEmpty = () -> { };
-    /** Since when connections may wait that were not accepted; 0 if none did when last looked at. */
-    private long leftSince;
-    private long evicted;
-    private long turnedAway;
-    private long acceptsFailed;
+    private Runnable onEmpty = () -> { };
+    /** Since when connections may have waited to be accepted; 0 if none waited at the last check. */
+    private long pendingSince;
+    private long evictedCount;
+    private long rejectedCount;
+    private long failedAcceptCount;
     private String lastFailure = "";
-    private boolean reportDue;
+    private boolean reportScheduled;
 
-    /** One accepted connection; all on the loop's thread. */
+    /** One accepted connection; all methods are called on the loop's thread. */
     interface Session {
-        /** Starts to serve what may have come since a time; {@code ended} must be called once it is over. */
-        void start(long since, Runnable ended) throws IOException;
+        /**
+         * Starts to serve the connection, whose first bytes may have arrived since {@code arrivedSince}. Must call
+         * {@code onClosed} once the connection is closed.
+         */
+        void start(long arrivedSince, Runnable onClosed) throws IOException;
 
-        /** The program is stopping: asks the client to ask no more. */
-        void stopping();
+        /** Asks the client to send no further requests, since the program is shutting down. */
+        void announceShutdown();
 
-        /** Takes nothing more, and ends the connection once nothing is open on it. */
+        /** Accepts no further requests, and closes the connection once all open ones are answered. */
         void drain();
 
-        /** Turns the client away without serving it: too many are here. */
-        void tooMany();
+        /** Rejects the client without serving it, since the connection limit is reached. */
+        void reject();
 
-        /** Since when nothing is open here; {@code Long.MAX_VALUE} while something is. */
+        /** Returns since when no request is open; {@code Long.MAX_VALUE} while one is. */
         default long idleSince() {
             return Long.MAX_VALUE;
         }
 
-        /** Whether anything whole has come. */
-        default boolean hasAsked() {
+        /** Whether a complete request has been received. */
+        default boolean hasSentRequest() {
             return true;
         }
 
-        /** Takes nothing more if nothing is open, not even what the system holds unread; gives whether that is so. */
-        default boolean retire() {
+        /**
+         * Reads what waits in the socket, so that closing loses no request. Returns whether there was nothing to read and no
+         * request is open.
+         */
+        default boolean confirmIdle() {
             return false;
         }
 
-        /** Ends the connection. */
+        /** Closes the connection. */
         void close();
     }
 
-    /** Listens; fails if the address can't be had. */
-    public Listener(InetSocketAddress address, int most, Limits limits, EventLoop loop, Events log) throws IOException {
+    /** Binds the address, for up to {@code maxConnections} connections at once; throws if the address is not available. */
+    public Listener(InetSocketAddress address, int maxConnections, Limits limits, EventLoop loop, Events log)
+            throws IOException {
         this.limits = limits;
         this.loop = loop;
         this.clock = loop.clock();
-        this.most = most;
+        this.maxConnections = maxConnections;
         this.log = log;
         server = ServerSocketChannel.open();
         server.setOption(StandardSocketOptions.SO_REUSEADDR, true);
         server.configureBlocking(false);
-        server.bind(address, BACKLOG);
+        server.bind(address, BACKLOG_CONNECTIONS);
     }
 
-    /** The port listened on. */
+    /** Returns the local port. */
     public int port() {
         return server.socket().getLocalPort();
     }
@@ -105,13 +112,13 @@
         return loop;
     }
 
-    /** How many connections are open; any thread may call. */
-    int connections() {
+    /** Returns the number of open connections; safe for any thread. */
+    int connectionCount() {
         return sessionCount;
     }
 
-    void start(Function<SocketChannel, Session> opener) {
-        open = opener;
+    void start(Function<SocketChannel, Session> factory) {
+        sessionFactory = factory;
         loop.execute(this::listen);
     }
 
@@ -119,57 +126,57 @@
         try {
             key = loop.register(server, SelectionKey.OP_ACCEPT, this);
         } catch (IOException e) {
-            throw new IllegalStateException("can't listen", e);
+            throw new IllegalStateException("can't register the listening socket", e);
         }
     }
 
     @Override
-    public void ready(SelectionKey ready) {
-        acceptWaiting(ACCEPTS_PER_ROUND);
+    public void onReady(SelectionKey readyKey) {
+        acceptPending(MAX_ACCEPTS_PER_ROUND);
     }
 
-    /** One connection that can't be served must not end the listener. */
+    /** A connection that can't be served must not stop the listener. */
     @Override
-    public void failed(Throwable cause) {
-        pauseAccepting(String.valueOf(cause));
+    public void onFailure(Throwable failure) {
+        pauseAccepting(String.valueOf(failure));
     }
 
-    private void acceptWaiting(int atMost) {
-        for (int i = 0; i < atMost; i++) {
+    private void acceptPending(int maxAccepts) {
+        for (int i = 0; i < maxAccepts; i++) {
             SocketChannel channel;
             try {
-                channel = nextWaiting();
+                channel = nextPending();
             } catch (IOException e) {
-                // Out of descriptors or memory, or the connection has been aborted: others may still come up.
+                // Out of file descriptors or memory, or the connection was aborted: later accepts may succeed.
                 pauseAccepting(e.getMessage());
                 return;
             }
             if (channel == null) {
-                leftSince = 0;
+                pendingSince = 0;
                 return;
             }
             admit(channel);
         }
-        leftSince = waitingSince();
+        pendingSince = earliestPending();
     }
 
-    /** The next connection that waits; null if none does. A call that was interrupted gives null too, and so is made again. */
-    private SocketChannel nextWaiting() throws IOException {
+    /** Returns the next connection that waits, or null. Repeats the call, since an interrupted one returns null too. */
+    private SocketChannel nextPending() throws IOException {
         SocketChannel channel = null;
-        for (int i = 0; i < CALLS_FOR_NONE && channel == null; i++) {
+        for (int i = 0; i < ACCEPT_CALLS_TO_CONFIRM_EMPTY && channel == null; i++) {
             channel = server.accept();
         }
         return channel;
     }
 
-    private void pauseAccepting(String why) {
-        leftSince = waitingSince();
-        acceptsFailed++;
-        lastFailure = why;
-        report();
+    private void pauseAccepting(String reason) {
+        pendingSince = earliestPending();
+        failedAcceptCount++;
+        lastFailure = reason;
+        scheduleReport();
         if (key.isValid()) {
             key.interestOps(0);
-            loop.schedule(clock.micros() + RETRY_ACCEPT_MICROS, this, this::resumeAccepting);
+            loop.schedule(clock.micros() + ACCEPT_RETRY_DELAY_MICROS, this, this::resumeAccepting);
         }
     }
 
@@ -180,92 +187,93 @@
     }
 
     private void admit(SocketChannel channel) {
-        Session session = sessionOf(channel);
-        if (sessions.size() >= most && !madeRoom()) {
-            turnedAway++;
-            report();
-            session.tooMany();
+        Session session = createSession(channel);
+        if (sessions.size() >= maxConnections && !evictIdleSession()) {
+            rejectedCount++;
+            scheduleReport();
+            session.reject();
             return;
         }
         sessions.add(session);
         sessionCount = sessions.size();
         try {
-            session.start(waitingSince(), () -> ended(session));
+            session.start(earliestPending(), () -> onSessionClosed(session));
         } catch (IOException e) {
-            // It has left at once.
+            // The client has already disconnected.
             session.close();
-            ended(session);
+            onSessionClosed(session);
         } catch (OutOfMemoryError e) {
-            // It must not wait for an answer that never comes.
-            ended(session);
-            session.tooMany();
+            // Without a rejection the client would wait for an answer that is never sent.
+            onSessionClosed(session);
+            session.reject();
         }
     }
 
-    private Session sessionOf(SocketChannel channel) {
+    private Session createSession(SocketChannel channel) {
         try {
-            return open.apply(channel);
+            return sessionFactory.apply(channel);
         } catch (RuntimeException | OutOfMemoryError e) {
             Threads.close(channel);
             throw e;
         }
     }
 
-    /** Since when a connection that is accepted now may have waited. */
-    private long waitingSince() {
-        return leftSince > 0 ? leftSince : loop.arrivedSince();
+    /** Returns the earliest time at which a connection that is accepted now can have arrived. */
+    private long earliestPending() {
+        return pendingSince > 0 ? pendingSince : loop.earliestArrival();
     }
 
-    private void ended(Session session) {
+    private void onSessionClosed(Session session) {
         sessions.remove(session);
         sessionCount = sessions.size();
         if (sessions.isEmpty()) {
-            whenEmpty.run();
+            onEmpty.run();
         }
     }
 
-    /** Ends the connection that is missed least: one that has asked nothing before others, then the longest idle. */
-    private boolean madeRoom() {
-        long newest = clock.micros() - limits.clients().evictableAfter();
-        List<Session> idle = sessions.stream().filter(session -> session.idleSince() <= newest)
-                .sorted(Comparator.comparing(Session::hasAsked).thenComparingLong(Session::idleSince)).toList();
+    /** Evicts an idle connection, preferably one that never sent a request, then the one idle for longest; false without any. */
+    private boolean evictIdleSession() {
+        long idleBefore = clock.micros() - limits.clients().evictableAfter();
+        List<Session> idle = sessions.stream().filter(session -> session.idleSince() <= idleBefore)
+                .sorted(Comparator.comparing(Session::hasSentRequest).thenComparingLong(Session::idleSince)).toList();
         for (Session session : idle) {
-            if (session.retire()) {
-                evicted++;
-                report();
+            if (session.confirmIdle()) {
+                evictedCount++;
+                scheduleReport();
                 session.close();
-                ended(session);
+                onSessionClosed(session);
                 return true;
             }
         }
         return false;
     }
 
-    /** Logs at most once a second what became of connections for which there was no room. */
-    private void report() {
-        if (!reportDue) {
-            reportDue = true;
-            loop.schedule(clock.micros() + REPORT_EVERY_MICROS, this, this::reportNow);
+    /** Schedules a log line about evicted and rejected connections, at most one a second. */
+    private void scheduleReport() {
+        if (!reportScheduled) {
+            reportScheduled = true;
+            loop.schedule(clock.micros() + REPORT_INTERVAL_MICROS, this, this::logReport);
         }
     }
 
-    private void reportNow() {
-        reportDue = false;
-        log.warn("clients.crowded", "no room for all connections", "open", sessions.size(), "most", most, "evicted", evicted,
-                "turnedAway", turnedAway, "acceptsFailed", acceptsFailed, "lastFailure", lastFailure);
+    private void logReport() {
+        reportScheduled = false;
+        log.warn("clients.crowded", "connection limit reached or accept failed", "open", sessions.size(),
+                "most", maxConnections, "evicted", evictedCount, "turnedAway", rejectedCount,
+                "acceptsFailed", failedAcceptCount, "lastFailure", lastFailure);
     }
 
-    /** Tells all clients to ask no more; any thread may call. */
-    void stopping() {
-        loop.execute(() -> Set.copyOf(sessions).forEach(Session::stopping));
+    /** Asks all clients to send no further requests; safe for any thread. */
+    void announceShutdown() {
+        loop.execute(() -> Set.copyOf(sessions).forEach(Session::announceShutdown));
     }
 
-    /** Stops listening and ends each connection once nothing is open on it; counts down when none is left. */
+    /** Stops listening and drains each connection; counts {@code drained} down when none is left. Safe for any thread. */
     void drain(CountDownLatch drained) {
         loop.execute(() -> {
-            acceptWaiting(BACKLOG);
+            acceptPending(BACKLOG_CONNECTIONS);
             close();
-            whenEmpty = drained::countDown;
+            onEmpty = drained::countDown;
             Set.copyOf(sessions).forEach(Session::drain);
             if (sessions.isEmpty()) {
                 drained.countDown();
--- a/src/main/java/cairnline/transport/ODataBatchExecution.java
+++ b/src/main/java/cairnline/transport/ODataBatchExecution.java
@@ -13,68 +13,69 @@
 import java.util.function.Consumer;
 
 /**
- * A batch under way, on its session's actor. Requests that neither depend on each other nor touch the same entity go
- * out together; a load waits for every earlier request to what it changes, and every later one waits for it.
+ * The execution of one batch, on its session's event loop. Requests that neither depend on each other nor access the same
+ * entity run concurrently. A write waits for all earlier requests to the entity that it changes, and later requests to
+ * that entity wait for it.
  */
 final class ODataBatchExecution {
     private final ODataBatch batch;
     private final ODataSession session;
-    private final long arrivedAt;
-    private final ODataRequest[] asked;
+    private final long receivedAt;
+    private final ODataRequest[] requests;
     private final HttpMessage[] answers;
     private final boolean[] started;
-    private Consumer<HttpMessage> whole;
+    private Consumer<HttpMessage> completionListener;
 
-    ODataBatchExecution(ODataBatch batch, ODataSession session, long arrivedAt) {
+    ODataBatchExecution(ODataBatch batch, ODataSession session, long receivedAt) {
         this.batch = batch;
         this.session = session;
-        this.arrivedAt = arrivedAt;
+        this.receivedAt = receivedAt;
         int count = batch.items().size();
-        this.asked = new ODataRequest[count];
+        this.requests = new ODataRequest[count];
         this.answers = new HttpMessage[count];
         this.started = new boolean[count];
     }
 
-    /** Starts; the answer of the whole batch comes on the session's actor or the core's thread. */
-    void start(Consumer<HttpMessage> done) {
-        whole = done;
-        Set<String> refused = batch.manyInGroup();
-        for (int i = 0; i < asked.length; i++) {
+    /** Starts the batch; {@code listener} receives the answer of the complete batch, on the event loop. */
+    void start(Consumer<HttpMessage> listener) {
+        completionListener = listener;
+        Set<String> unsupportedGroups = batch.manyInGroup();
+        for (int i = 0; i < requests.length; i++) {
             Item item = batch.items().get(i);
             try {
-                if (refused.contains(item.group())) {
+                if (unsupportedGroups.contains(item.group())) {
                     throw new ODataException(501, "requests of an atomicity group can't be made to happen together");
                 }
-                asked[i] = ODataCall.read(item.request(), session.front());
+                requests[i] = ODataCall.read(item.request(), session.front());
             } catch (ODataException e) {
                 answers[i] = ODataModel.error(e.status(), e.getMessage());
                 started[i] = true;
             }
         }
-        advance();
+        startReadyRequests();
     }
 
-    /** Starts what may start; ends when nothing is left. */
-    private void advance() {
-        int end = end();
-        boolean out = false;
+    /** Starts all requests that are ready to run; answers the batch when none is left. */
+    private void startReadyRequests() {
+        int end = endOfProcessing();
+        boolean pending = false;
         for (int i = 0; i < end; i++) {
             if (!started[i] && mayStart(i)) {
-                begin(i);
+                startRequest(i);
             }
-            out |= answers[i] == null;
+            pending |= answers[i] == null;
         }
-        if (!out) {
-            List<HttpMessage> told = new ArrayList<>(Arrays.asList(answers));
-            for (int i = end; i < told.size(); i++) {
-                told.set(i, null);
+        if (!pending) {
+            List<HttpMessage> processed = new ArrayList<>(Arrays.asList(answers));
+            for (int i = end; i < processed.size(); i++) {
+                processed.set(i, null);
             }
-            whole.accept(batch.answer(told));
+            completionListener.accept(batch.answer(processed));
         }
     }
 
-    /** Where processing stops: after the first error, unless the client asked to go on. */
-    private int end() {
+    /** Returns how many requests to process: up to the first error, unless the client requested to continue on errors. */
+    private int endOfProcessing() {
         for (int i = 0; i < answers.length && !batch.continueOnError(); i++) {
             if (answers[i] != null && answers[i].status() >= 400) {
                 return i + 1;
@@ -89,35 +90,35 @@
             if (answers[i] != null) {
                 continue;
             }
-            // Without continue-on-error nothing may run that an earlier error would have kept from running.
-            if (batch.sequential() || !batch.continueOnError() || names(item, batch.items().get(i))
-                    || asked[index].conflicts(asked[i])) {
+            // Without continue-on-error, a request must not run before it is known that no earlier one fails.
+            if (batch.sequential() || !batch.continueOnError() || dependsOn(item, batch.items().get(i))
+                    || requests[index].conflicts(requests[i])) {
                 return false;
             }
         }
         return true;
     }
 
-    private static boolean names(Item item, Item earlier) {
+    private static boolean dependsOn(Item item, Item earlier) {
         return item.dependsOn().contains(earlier.id())
                 || earlier.group() != null && item.dependsOn().contains(earlier.group());
     }
 
-    private void begin(int index) {
+    private void startRequest(int index) {
         started[index] = true;
         Item item = batch.items().get(index);
         for (int i = 0; i < index; i++) {
-            if (names(item, batch.items().get(i)) && answers[i].status() >= 400) {
+            if (dependsOn(item, batch.items().get(i)) && answers[i].status() >= 400) {
                 answers[index] = ODataModel.error(424, "request " + batch.items().get(i).id() + " has failed");
                 return;
             }
         }
         ODataCall[] call = new ODataCall[1];
-        call[0] = new ODataCall(session.front(), asked[index], arrivedAt, answer -> session.later(() -> {
-            session.over(call[0]);
+        call[0] = new ODataCall(session.front(), requests[index], receivedAt, answer -> session.runInOrder(() -> {
+            session.removeCall(call[0]);
             answers[index] = answer;
-            advance();
+            startReadyRequests();
         }));
-        session.begin(call[0]);
+        session.startCall(call[0]);
     }
 }
--- a/src/main/java/cairnline/transport/ODataCall.java
+++ b/src/main/java/cairnline/transport/ODataCall.java
@@ -17,56 +17,61 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Consumer;
 
-/** One OData request on its way through the core. */
+/** One OData request that the dispatcher runs, and the conversion of its answer to HTTP. */
 final class ODataCall {
-    private static final AtomicLong NUMBERS = new AtomicLong();
+    private static final AtomicLong CALL_COUNTER = new AtomicLong();
     private static final long MICROS_PER_SECOND = 1_000_000;
 
     private final ODataFront front;
-    private final ODataRequest asked;
+    private final ODataRequest odataRequest;
     private final Request request;
-    private final Consumer<HttpMessage> done;
+    private final Consumer<HttpMessage> onAnswer;
 
-    /** {@code done} gets the one answer, on the core's thread. */
-    ODataCall(ODataFront front, ODataRequest asked, long now, Consumer<HttpMessage> done) {
+    /**
+     * Creates a call, not yet started. {@code onAnswer} receives the only answer, on the dispatcher's thread or from
+     * {@link #refuse}.
+     */
+    ODataCall(ODataFront front, ODataRequest odataRequest, long receivedAt, Consumer<HttpMessage> onAnswer) {
         this.front = front;
-        this.asked = asked;
-        this.done = done;
-        long most = front.patience(asked.type());
-        long patience = asked.waitMs() > 0 ? Math.min(most, Clock.ofMillis(asked.waitMs())) : most;
-        this.request = new Request(String.format("%016x", NUMBERS.incrementAndGet()), asked.type(),
-                asked.passed().bytes(), asked.repeatKey(), asked.write() ? orderKey(asked.order()) : null, now,
-                patience, 0, 0, asked.set().tables(), (r, answer) -> done.accept(http(answer)));
+        this.odataRequest = odataRequest;
+        this.onAnswer = onAnswer;
+        long maxTimeout = front.timeout(odataRequest.type());
+        long timeout = odataRequest.waitMs() > 0 ? Math.min(maxTimeout, Clock.ofMillis(odataRequest.waitMs()))
+                : maxTimeout;
+        this.request = new Request(String.format("%016x", CALL_COUNTER.incrementAndGet()), odataRequest.type(),
+                odataRequest.passed().bytes(), odataRequest.repeatKey(),
+                odataRequest.write() ? orderingKeyHash(odataRequest.order()) : null, receivedAt, timeout, 0, 0,
+                odataRequest.set().tables(), (request, answer) -> onAnswer.accept(toHttp(answer)));
     }
 
-    /** Reads a request as HTTP brought it. */
+    /** Parses an HTTP request against the model of this server. */
     static ODataRequest read(HttpMessage http, ODataFront front) {
         return ODataRequest.read(http, front.model(),
                 DateTimeFormatter.RFC_1123_DATE_TIME.format(Instant.now().atOffset(ZoneOffset.UTC)));
     }
 
-    ODataRequest asked() {
-        return asked;
+    ODataRequest odataRequest() {
+        return odataRequest;
     }
 
     void start() {
-        front.core().take(request);
+        front.dispatcher().take(request);
     }
 
     void detach() {
-        front.core().detach(request);
+        front.dispatcher().detach(request);
     }
 
-    /** Answers it without handing it to the core. */
+    /** Answers the call with an error instead of starting it. */
     void refuse(String reason) {
-        done.accept(ODataModel.error(503, reason).with("retry-after", "1"));
+        onAnswer.accept(ODataModel.error(503, reason).with("retry-after", "1"));
     }
 
     void abandon() {
-        front.core().abandon(request);
+        front.dispatcher().abandon(request);
     }
 
-    private static HttpMessage http(Answer answer) {
+    private static HttpMessage toHttp(Answer answer) {
         try {
             return switch (answer.kind()) {
                 case SERVED -> HttpMessage.of(answer.rows());
@@ -79,10 +84,10 @@
         }
     }
 
-    /** A number for a key in words; two that fell together would only wait for each other. */
-    private static long orderKey(String words) {
+    /** Returns a hash of an ordering key. A collision is harmless: it only makes the requests of two keys wait for each other. */
+    private static long orderingKeyHash(String key) {
         try {
-            byte[] hash = MessageDigest.getInstance("SHA-256").digest(words.getBytes(StandardCharsets.UTF_8));
+            byte[] hash = MessageDigest.getInstance("SHA-256").digest(key.getBytes(StandardCharsets.UTF_8));
             return ByteBuffer.wrap(hash).getLong();
         } catch (NoSuchAlgorithmException e) {
             throw new IllegalStateException(e);
--- a/src/main/java/cairnline/transport/ODataFront.java
+++ b/src/main/java/cairnline/transport/ODataFront.java
@@ -7,21 +7,24 @@
 import java.nio.channels.SocketChannel;
 import java.util.Map;
 
-/** OData over HTTP/1.1; once it is stopping, every answer closes its connection. */
+/** Serves OData over HTTP/1.1; during shutdown every answer closes its connection. */
 public final class ODataFront extends SocketFront {
     private final ODataModel model;
-    private final Map<String, Long> patience;
+    private final Map<String, Long> timeouts;
 
-    /** A front at this listener; {@code patience} is how long clients of a class wait that do not say, in microseconds. */
-    public ODataFront(Listener listener, Core core, ODataModel model, Map<String, Long> patience, Limits limits,
+    /**
+     * Creates a server at this listener. {@code timeouts} holds, by request class, how long clients wait that state no timeout
+     * of their own, in microseconds.
+     */
+    public ODataFront(Listener listener, Core dispatcher, ODataModel model, Map<String, Long> timeouts, Limits limits,
                       Events log) {
-        super(listener, core, limits, log);
+        super(listener, dispatcher, limits, log);
         this.model = model;
-        this.patience = patience;
+        this.timeouts = timeouts;
     }
 
     @Override
-    Listener.Session session(SocketChannel channel) {
+    Listener.Session newSession(SocketChannel channel) {
         return new ODataSession(channel, this);
     }
 
@@ -29,7 +32,8 @@
         return model;
     }
 
-    long patience(String type) {
-        return patience.get(type);
+    /** Returns the timeout of a class, in microseconds: the default, and the maximum that a client may state. */
+    long timeout(String requestClass) {
+        return timeouts.get(requestClass);
     }
 }
--- a/src/main/java/cairnline/transport/ODataSession.java
+++ b/src/main/java/cairnline/transport/ODataSession.java
@@ -14,204 +14,206 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * One OData client's connection, on the event loop. Requests are served one after the other, in the order sent. Once its
- * input has ended, or can't be used any more, it ends after the answers that are owed.
+ * One client connection of the OData server, confined to the event loop. Serves requests one after the other, in the order
+ * received. Once the client has closed its output, or its input is malformed, the session closes the connection after the
+ * answers to the requests received so far.
  */
 final class ODataSession implements Listener.Session, TcpConnection.Handler {
-    /** Within this time after the end of the input a request that was just taken may still go out. */
-    private static final long DETACH_AFTER_MICROS = 10_000;
+    /** A request received just before the end of the input may still be sent to an engine for this long. */
+    private static final long DETACH_DELAY_MICROS = 10_000;
 
     private final ODataFront front;
     private final SocketChannel channel;
-    private final TcpConnection peer;
-    private final HttpDecoder requests;
-    private final ArrayDeque<Arrival> waiting = new ArrayDeque<>();
-    /** What the core has of this client; given up when it hangs up. */
-    private final Set<ODataCall> open = ConcurrentHashMap.newKeySet();
-    /** Requests read and not answered yet. */
-    private final AtomicInteger unanswered = new AtomicInteger();
-    private boolean busy;
-    /** Nothing more is read; the connection ends after the last answer and {@link #lastWord}. */
-    private boolean inputOver;
-    private HttpMessage lastWord;
-    /** The client sends no more: what has not begun is not begun. */
-    private boolean leaving;
-    /** The last answer has been given. */
-    private boolean finished;
-    private boolean gone;
-    private final ClientActivity allowance;
-    private Runnable whenEnded;
-
-    private record Arrival(HttpMessage request, long at) { }
+    private final TcpConnection connection;
+    private final HttpDecoder decoder;
+    private final ArrayDeque<ReceivedRequest> queuedRequests = new ArrayDeque<>();
+    /** The calls that the dispatcher has of this client; abandoned when the connection is closed. */
+    private final Set<ODataCall> openCalls = ConcurrentHashMap.newKeySet();
+    /** Requests received and not answered yet. */
+    private final AtomicInteger unansweredCount = new AtomicInteger();
+    private boolean serving;
+    /** Whether input is ignored; the connection is closed after the last answer and {@link #finalAnswer}. */
+    private boolean inputIgnored;
+    /** An error to send after all answers; null without. */
+    private HttpMessage finalAnswer;
+    /** Whether the client has closed its output for so long that no further requests are started. */
+    private boolean detached;
+    /** Whether the last answer has been enqueued. */
+    private boolean outputFinished;
+    private boolean closed;
+    private final ClientActivity activity;
+    private Runnable closeListener;
+
+    private record ReceivedRequest(HttpMessage request, long receivedAt) { }
 
     ODataSession(SocketChannel channel, ODataFront front) {
         this.channel = channel;
         this.front = front;
-        this.peer = TcpConnection.accepted(front.loop(), channel, front.limits(), this);
-        this.requests = new HttpDecoder(front.limits().http().headBytes(), front.limits().http().bodyBytes());
-        this.allowance = new ClientActivity(front);
+        this.connection = TcpConnection.forAcceptedChannel(front.loop(), channel, front.limits(), this);
+        this.decoder = new HttpDecoder(front.limits().http().headBytes(), front.limits().http().bodyBytes());
+        this.activity = new ClientActivity(front);
     }
 
     @Override
-    public void start(long since, Runnable ended) throws IOException {
-        whenEnded = ended;
-        peer.start(since);
+    public void start(long arrivedSince, Runnable onClosed) throws IOException {
+        closeListener = onClosed;
+        connection.start(arrivedSince);
     }
 
     @Override
-    public void stopping() {
-        // HTTP/1.1 can tell a client only with its next answer.
+    public void announceShutdown() {
+        // HTTP/1.1 can announce it only with the next answer.
     }
 
     @Override
     public void drain() {
-        while (peer.readNow()) {
-            // What the system held unread is taken, and answered like all else.
+        while (connection.readNow()) {
+            // Requests that wait in the socket are accepted and answered like all others.
         }
-        endInput(null);
+        closeInput(null);
     }
 
     @Override
-    public void tooMany() {
-        TcpConnection.turnAway(channel, ODataModel.error(503, "too many connections").with("retry-after", "1")
+    public void reject() {
+        TcpConnection.reject(channel, ODataModel.error(503, "too many connections").with("retry-after", "1")
                 .with("connection", "close").bytes());
     }
 
     @Override
     public long idleSince() {
-        return isIdle() ? allowance.activeAt() : Long.MAX_VALUE;
+        return isIdle() ? activity.lastActiveAt() : Long.MAX_VALUE;
     }
 
     private boolean isIdle() {
-        return unanswered.get() == 0 && peer.isFlushed();
+        return unansweredCount.get() == 0 && connection.isFlushed();
     }
 
     @Override
-    public boolean hasAsked() {
-        return allowance.hasAsked();
+    public boolean hasSentRequest() {
+        return activity.hasSentRequest();
     }
 
     @Override
-    public boolean retire() {
-        return !peer.readNow() && isIdle();
+    public boolean confirmIdle() {
+        return !connection.readNow() && isIdle();
     }
 
     @Override
     public void close() {
-        peer.closeNow("evicted to make room");
+        connection.closeNow("evicted to make room");
     }
 
     @Override
-    public void read(byte[] bytes, int count, long now) {
-        requests.feed(bytes, count);
+    public void onRead(byte[] bytes, int count, long receivedAt) {
+        decoder.feed(bytes, count);
         try {
-            boolean whole = false;
-            for (HttpMessage request = requests.next(); request != null; request = requests.next()) {
-                whole = true;
-                unanswered.incrementAndGet();
-                Arrival arrival = new Arrival(request, now);
-                peer.offer(turn -> arrived(arrival));
+            boolean complete = false;
+            for (HttpMessage request = decoder.next(); request != null; request = decoder.next()) {
+                complete = true;
+                unansweredCount.incrementAndGet();
+                ReceivedRequest received = new ReceivedRequest(request, receivedAt);
+                connection.enqueue(now -> queueRequest(received));
             }
-            allowance.read(now, whole, requests.partial());
-            if (!allowance.hold(requests.held())) {
-                endInput(ODataModel.error(503, "too much has begun and not ended").with("retry-after", "1"));
+            activity.onRead(receivedAt, complete, decoder.partial());
+            if (!activity.setHeldBytes(decoder.held())) {
+                closeInput(ODataModel.error(503, "too much has begun and not ended").with("retry-after", "1"));
             }
         } catch (ProtocolException e) {
-            endInput(ODataModel.error(400, e.getMessage()));
+            closeInput(ODataModel.error(400, e.getMessage()));
         }
     }
 
-    /** Nothing more is read; after the answers that are owed comes this word, if it is not null, and the end. */
-    private void endInput(HttpMessage word) {
-        if (!inputOver) {
-            inputOver = true;
-            lastWord = word;
-            peer.ignoreInput();
-            allowance.end();
+    /** Ignores all further input, and closes the connection after the open answers and {@code error}, which may be null. */
+    private void closeInput(HttpMessage error) {
+        if (!inputIgnored) {
+            inputIgnored = true;
+            finalAnswer = error;
+            connection.ignoreInput();
+            activity.releaseBytes();
         }
         finishIfAnswered();
     }
 
     private void finishIfAnswered() {
-        if (!inputOver || finished || unanswered.get() > 0) {
+        if (!inputIgnored || outputFinished || unansweredCount.get() > 0) {
             return;
         }
-        finished = true;
-        if (lastWord != null) {
-            peer.send(lastWord.with("connection", "close").bytes());
+        outputFinished = true;
+        if (finalAnswer != null) {
+            connection.send(finalAnswer.with("connection", "close").bytes());
         }
-        peer.finish();
+        connection.finishOutput();
     }
 
     @Override
-    public long due(long lastRead) {
-        return inputOver ? lastRead + front.limits().clients().idle() : allowance.due(lastRead);
+    public long timeoutAt(long lastReadAt) {
+        return inputIgnored ? lastReadAt + front.limits().clients().idle() : activity.timeoutAt(lastReadAt);
     }
 
     @Override
-    public boolean quiet(long now) {
-        if (!inputOver && allowance.isClosed(now)) {
-            endInput(ODataModel.error(408, "no whole request in time"));
+    public boolean onTimeout(long now) {
+        if (!inputIgnored && activity.isMessageOverdue(now)) {
+            closeInput(ODataModel.error(408, "no whole request in time"));
         }
-        return inputOver || !allowance.isIdle(now) || !retire();
+        return inputIgnored || !activity.isIdle(now) || !confirmIdle();
     }
 
     @Override
-    public boolean inputEnded(long since) {
-        front.loop().schedule(since + DETACH_AFTER_MICROS, peer, this::leave);
-        endInput(requests.partial() ? ODataModel.error(400, "the connection ended inside a request") : null);
+    public boolean onInputClosed(long since) {
+        front.loop().schedule(since + DETACH_DELAY_MICROS, connection, this::detachOpenCalls);
+        closeInput(decoder.partial() ? ODataModel.error(400, "the connection ended inside a request") : null);
         return true;
     }
 
-    private void leave() {
-        leaving = true;
-        open.forEach(ODataCall::detach);
+    private void detachOpenCalls() {
+        detached = true;
+        openCalls.forEach(ODataCall::detach);
     }
 
     @Override
-    public void ended(boolean wasUp) {
-        gone = true;
-        open.forEach(ODataCall::abandon);
-        open.clear();
-        allowance.end();
-        whenEnded.run();
+    public void onClosed(boolean wasConnected) {
+        closed = true;
+        openCalls.forEach(ODataCall::abandon);
+        openCalls.clear();
+        activity.releaseBytes();
+        closeListener.run();
     }
 
-    private byte[] arrived(Arrival arrival) {
-        waiting.addLast(arrival);
-        if (waiting.size() > front.limits().clients().openRequests()) {
-            waiting.removeLast();
-            unanswered.decrementAndGet();
-            endInput(ODataModel.error(429, "too many requests wait on this connection"));
+    private byte[] queueRequest(ReceivedRequest received) {
+        queuedRequests.addLast(received);
+        if (queuedRequests.size() > front.limits().clients().openRequests()) {
+            queuedRequests.removeLast();
+            unansweredCount.decrementAndGet();
+            closeInput(ODataModel.error(429, "too many requests wait on this connection"));
             return null;
         }
-        return busy ? null : next();
+        return serving ? null : startNext();
     }
 
-    /** Serves the next request; gives its answer if it needs no engine. */
-    private byte[] next() {
-        Arrival arrival = waiting.pollFirst();
-        if (arrival == null || finished) {
+    /** Starts the next request; returns the encoded answer if it needs no engine, else null. */
+    private byte[] startNext() {
+        ReceivedRequest received = queuedRequests.pollFirst();
+        if (received == null || outputFinished) {
             return null;
         }
-        busy = true;
-        HttpMessage request = arrival.request();
+        serving = true;
+        HttpMessage request = received.request();
         try {
-            HttpMessage known = document(request);
-            if (known != null) {
-                return answer(request, known);
+            HttpMessage document = findDocument(request);
+            if (document != null) {
+                return completeRequest(request, document);
             }
             if (path(request).equals("/$batch")) {
                 ODataBatch batch = ODataBatch.read(request, front.limits().http().batchRequests());
-                new ODataBatchExecution(batch, this, arrival.at()).start(whole -> answered(request, whole));
+                new ODataBatchExecution(batch, this, received.receivedAt()).start(answer -> sendAnswer(request, answer));
                 return null;
             }
-            ODataCall call = new ODataCall(front, ODataCall.read(request, front), arrival.at(),
-                    whole -> answered(request, whole));
-            begin(call);
+            ODataCall call = new ODataCall(front, ODataCall.read(request, front), received.receivedAt(),
+                    answer -> sendAnswer(request, answer));
+            startCall(call);
             return null;
         } catch (ODataException e) {
-            return answer(request, ODataModel.error(e.status(), e.getMessage()));
+            return completeRequest(request, ODataModel.error(e.status(), e.getMessage()));
         }
     }
 
@@ -219,85 +221,85 @@
         return front;
     }
 
-    /** Runs a task on the event loop, in turn with what is written here. */
-    void later(Runnable task) {
-        peer.offer(now -> {
+    /** Runs a task on the event loop, in order with the messages written on this connection. */
+    void runInOrder(Runnable task) {
+        connection.enqueue(now -> {
             task.run();
             return null;
         });
     }
 
-    /** Hands a call to the core, unless its client has left. */
-    void begin(ODataCall call) {
-        if (leaving) {
+    /** Passes a call to the dispatcher, or refuses it if the client has closed its output. */
+    void startCall(ODataCall call) {
+        if (detached) {
             call.refuse("the client sends no more");
-        } else if (!gone) {
-            open.add(call);
+        } else if (!closed) {
+            openCalls.add(call);
             call.start();
         }
     }
 
-    void over(ODataCall call) {
-        open.remove(call);
+    void removeCall(ODataCall call) {
+        openCalls.remove(call);
     }
 
-    private void answered(HttpMessage request, HttpMessage whole) {
-        peer.offer(now -> {
-            open.clear();
-            return answer(request, whole);
+    private void sendAnswer(HttpMessage request, HttpMessage answer) {
+        connection.enqueue(now -> {
+            openCalls.clear();
+            return completeRequest(request, answer);
         });
     }
 
-    /** The bytes of an answer, after which the next request is served. */
-    private byte[] answer(HttpMessage request, HttpMessage whole) {
-        busy = false;
-        unanswered.decrementAndGet();
-        allowance.answered(front.clock().micros());
-        boolean last = request.closes() || front.isStopping();
-        HttpMessage told = whole.headers().containsKey("odata-version") ? whole : whole.with("odata-version",
+    /** Encodes the answer to the current request, and schedules the next request or the end of the connection. */
+    private byte[] completeRequest(HttpMessage request, HttpMessage answer) {
+        serving = false;
+        unansweredCount.decrementAndGet();
+        activity.onAnswered(front.clock().micros());
+        boolean isLast = request.closes() || front.isStopping();
+        HttpMessage versioned = answer.headers().containsKey("odata-version") ? answer : answer.with("odata-version",
                 request.header("odata-maxversion").equals("4.0") ? "4.0" : "4.01");
-        if (last) {
-            inputOver = true;
-            finished = true;
-            peer.ignoreInput();
-            peer.finish();
-            return told.with("connection", "close").bytes();
+        if (isLast) {
+            inputIgnored = true;
+            outputFinished = true;
+            connection.ignoreInput();
+            connection.finishOutput();
+            return versioned.with("connection", "close").bytes();
         }
-        later(() -> {
-            byte[] following = busy ? null : next();
-            if (following != null) {
-                peer.send(following);
+        runInOrder(() -> {
+            byte[] nextAnswer = serving ? null : startNext();
+            if (nextAnswer != null) {
+                connection.send(nextAnswer);
             }
             finishIfAnswered();
         });
-        return told.bytes();
+        return versioned.bytes();
     }
 
     private static String path(HttpMessage request) {
         return request.target().split("\\?", 2)[0];
     }
 
-    /** The documents that need no engine; null for all else. */
-    private HttpMessage document(HttpMessage request) {
+    /** Returns the service or metadata document if one is requested; null for requests that need an engine. */
+    private HttpMessage findDocument(HttpMessage request) {
         String path = path(request);
         if (!request.start()[2].equals("HTTP/1.0") && request.header("host").isEmpty()) {
             throw new ODataException(400, "the Host header is missing");
         }
-        boolean service = path.isEmpty() || path.equals("/");
-        boolean metadata = path.equals("/$metadata");
-        boolean batch = path.equals("/$batch");
-        if (!service && !metadata && !batch) {
+        boolean isServiceDocument = path.isEmpty() || path.equals("/");
+        boolean isMetadata = path.equals("/$metadata");
+        boolean isBatch = path.equals("/$batch");
+        if (!isServiceDocument && !isMetadata && !isBatch) {
             return null;
         }
-        if (!request.method().equals(batch ? "POST" : "GET")) {
+        if (!request.method().equals(isBatch ? "POST" : "GET")) {
             throw new ODataException(405, path + " does not serve " + request.method());
         }
-        if (service) {
+        if (isServiceDocument) {
             return HttpMessage.response(200, ODataModel.JSON, front.model().serviceDocument());
         }
-        boolean json = request.target().contains("$format=json") || request.target().contains("%24format=json")
+        boolean isJson = request.target().contains("$format=json") || request.target().contains("%24format=json")
                 || request.header("accept").startsWith("application/json");
-        return !metadata ? null : json
+        return !isMetadata ? null : isJson
                 ? HttpMessage.response(200, "application/json", front.model().metadataJson())
                 : HttpMessage.response(200, "application/xml", front.model().metadataXml());
     }
--- a/src/main/java/cairnline/transport/PooledLink.java
+++ b/src/main/java/cairnline/transport/PooledLink.java
@@ -13,57 +13,62 @@
 import java.util.function.ToIntFunction;
 
 /**
- * What the links share: connections opened as needed, within what all links together may have, and the time after which
- * nothing new may leave.
+ * Base of the links to engines. Opens connections as needed, within the budget that all links share, and keeps the time after
+ * which no attempt may be sent. Confined to the dispatcher's thread, except where noted.
+ *
+ * @param <C> the type of the connections
  */
 public abstract class PooledLink<C extends PooledLink.Connection> implements EngineLink {
-    private final int most;
+    private final int maxConnections;
     private final ConnectionBudget<Connection> budget;
     private final Clock clock;
-    /** Only the core's thread touches these. */
+    /** The open connections; confined to the dispatcher's thread. */
     private final List<C> connections = new ArrayList<>();
-    private volatile long lastSend = Long.MAX_VALUE;
+    /** No attempt may be sent after this time; read by the event loop. */
+    private volatile long sendDeadline = Long.MAX_VALUE;
 
     /** A connection of a link. */
     public interface Connection extends Pooled {
-        /** Ends the attempt if it is out here. */
-        void giveUp(Attempt attempt);
+        /** Cancels the attempt if it is in flight on this connection. */
+        void cancel(Attempt attempt);
 
-        /** Ends the connection, and with it what is out here. */
+        /** Closes the connection, and so ends the attempts in flight on it. */
         void close();
     }
 
-    /** A link of at most so many connections to its engine, and with all others as many as the budget has. */
-    PooledLink(int most, ConnectionBudget<Connection> budget, Clock clock) {
-        this.most = most;
+    /** Creates a link of up to {@code maxConnections} connections to its engine, as far as the shared budget has room. */
+    PooledLink(int maxConnections, ConnectionBudget<Connection> budget, Clock clock) {
+        this.maxConnections = maxConnections;
         this.budget = budget;
         this.clock = clock;
     }
 
     /**
-     * The connection with the least on it of those that will do; a new one if that is too much, as long as there may
-     * be more; null if there is none.
+     * Returns the least loaded eligible connection, or a new one if its load reaches {@code loadThreshold} and the limits allow
+     * another connection. Returns null if there is neither.
      */
-    final C connection(Predicate<C> willDo, ToIntFunction<C> load, int tooMuch, Supplier<C> open) {
+    final C acquire(Predicate<C> eligible, ToIntFunction<C> load, int loadThreshold, Supplier<C> opener) {
         long now = clock.micros();
-        budget.stale(now).forEach(Connection::close);
+        budget.removeExpired(now).forEach(Connection::close);
         connections.removeIf(Connection::isClosed);
-        C least = connections.stream().filter(willDo).min(Comparator.comparingInt(load)).orElse(null);
-        boolean enough = least != null && load.applyAsInt(least) < tooMuch || connections.size() >= most;
-        C chosen = enough || !madeRoom() ? least : open.get();
-        if (chosen != null && chosen != least) {
+        C leastLoaded = connections.stream().filter(eligible).min(Comparator.comparingInt(load)).orElse(null);
+        boolean reuse = leastLoaded != null && load.applyAsInt(leastLoaded) < loadThreshold
+                || connections.size() >= maxConnections;
+        C chosen = reuse || !makeRoom() ? leastLoaded : opener.get();
+        if (chosen != null && chosen != leastLoaded) {
             connections.add(chosen);
         }
         if (chosen != null) {
-            budget.used(chosen, now);
+            budget.markUsed(chosen, now);
         }
         return chosen;
     }
 
-    private boolean madeRoom() {
-        Connection least = budget.hasRoom() ? null : budget.leastUseful();
-        if (least != null) {
-            least.close();
+    /** Evicts an idle connection of any link if the budget is used up; returns whether another connection may be opened. */
+    private boolean makeRoom() {
+        Connection evicted = budget.hasRoom() ? null : budget.evictIdle();
+        if (evicted != null) {
+            evicted.close();
         }
         return budget.hasRoom();
     }
@@ -74,21 +79,21 @@
 
     @Override
     public final void giveUp(Attempt attempt) {
-        connections.forEach(connection -> connection.giveUp(attempt));
+        connections.forEach(connection -> connection.cancel(attempt));
     }
 
     @Override
     public final void lastSend(long time) {
-        lastSend = time;
+        sendDeadline = time;
     }
 
-    final long lastSend() {
-        return lastSend;
+    final long sendDeadline() {
+        return sendDeadline;
     }
 
     @Override
     public final void renew() {
-        connections.forEach(budget::ended);
+        connections.forEach(budget::remove);
         connections.forEach(Connection::close);
         connections.clear();
     }
--- a/src/main/java/cairnline/transport/RespConnection.java
+++ b/src/main/java/cairnline/transport/RespConnection.java
@@ -24,21 +24,22 @@
 import java.util.stream.Collectors;
 
 /**
- * One connection to an engine. Its maps are shared by the core's thread, the writer and the reader, under its lock;
- * the core is never called under that lock, since its mailbox may be full.
+ * One connection to an engine that speaks RESP. Its state is shared by the dispatcher's thread and the event loop, and guarded
+ * by this object's lock. The dispatcher is never called with the lock held, since its mailbox may be full.
  */
 final class RespConnection implements TcpConnection.Handler, PooledLink.Connection {
-    private static final int ANSWER_PARTS = 4;
-    private static final String PROBE_TAG = "probe-";
+    private static final int MAX_ANSWER_PARTS = 4;
+    private static final String PROBE_ID_PREFIX = "probe-";
 
     private final RespLink link;
-    private final Core core;
+    private final Core dispatcher;
     private final Limits limits;
-    private final TcpConnection peer;
-    private final Resp answers;
+    private final TcpConnection connection;
+    private final Resp decoder;
+    /** The attempts in flight, by request id. */
     private final Map<String, Exchange> exchanges = new HashMap<>();
-    /** Ids given up, whose answers or pages may still be on their way; the oldest give way. */
-    private final Map<String, Boolean> undone = new LinkedHashMap<>() {
+    /** Ids of attempts that ended before their complete answer arrived, so that it may still come; the oldest are evicted. */
+    private final Map<String, Boolean> abandonedIds = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
         @Override
@@ -47,25 +48,25 @@
         }
     };
     private final Map<String, Probe> probes = new HashMap<>();
-    private long probeCount;
-    private boolean over;
-    /** What the way this connection ends tells of its engine; null for nothing. */
-    private Evidence seen;
-    private boolean closedHere;
-    /** Since when there is something that the engine must answer or tell of. */
-    private long askedAt;
-    private long heardAt;
-
-    RespConnection(RespLink link, Core core, Limits limits, EventLoop loop) {
+    private long nextProbeNumber;
+    private boolean closed;
+    /** What the end of this connection says about the engine's state; null for nothing. */
+    private Evidence closeEvidence;
+    private boolean closedLocally;
+    /** Since when the engine has been expected to send something. */
+    private long awaitingSince;
+    private long lastReceivedAt;
+
+    RespConnection(RespLink link, Core dispatcher, Limits limits, EventLoop loop) {
         this.link = link;
-        this.core = core;
+        this.dispatcher = dispatcher;
         this.limits = limits;
-        this.peer = TcpConnection.connecting(loop, limits, this);
-        this.answers = new Resp(ANSWER_PARTS, limits.engines().partBytes());
-        this.heardAt = loop.clock().micros();
+        this.connection = TcpConnection.unconnected(loop, limits, this);
+        this.decoder = new Resp(MAX_ANSWER_PARTS, limits.engines().partBytes());
+        this.lastReceivedAt = loop.clock().micros();
     }
 
-    /** An attempt on this connection, with the pages that have come. */
+    /** An attempt on this connection, with the pages received so far. */
     private static final class Exchange {
         final Attempt attempt;
         final PagedResult result;
@@ -77,7 +78,7 @@
         }
     }
 
-    /** A question for the engine's load. */
+    /** A request for the engine's load report. */
     private static final class Probe {
         final Consumer<Map<String, Double>> answer;
         boolean written;
@@ -88,78 +89,79 @@
     }
 
     void connect(InetSocketAddress address) {
-        peer.connect(address);
+        connection.connect(address);
     }
 
     @Override
     public synchronized boolean isClosed() {
-        return over;
+        return closed;
     }
 
     @Override
     public synchronized boolean isIdle() {
-        return !over && exchanges.isEmpty() && probes.isEmpty();
+        return !closed && exchanges.isEmpty() && probes.isEmpty();
     }
 
     @Override
     public synchronized boolean isQuiescent() {
-        return !over && !answers.partial() && exchanges.values().stream().noneMatch(exchange -> exchange.written)
+        return !closed && !decoder.partial() && exchanges.values().stream().noneMatch(exchange -> exchange.written)
                 && probes.values().stream().noneMatch(probe -> probe.written);
     }
 
-    private synchronized void written(Probe probe, long now) {
+    private synchronized void markWritten(Probe probe, long now) {
         probe.written = true;
-        asked(now);
+        startSilencePeriod(now);
     }
 
-    /** What is asked while something else is open does not excuse that nothing is heard of that. */
-    private synchronized void asked(long now) {
+    /** Starts the silence period, unless something else is in flight: a new request must not extend the time allowed for it. */
+    private synchronized void startSilencePeriod(long now) {
         if (exchanges.size() + probes.size() == 1) {
-            askedAt = now;
+            awaitingSince = now;
         }
     }
 
-    /** How many requests are open here. */
-    synchronized int load() {
+    /** Returns the number of open requests. */
+    synchronized int openRequestCount() {
         return exchanges.size();
     }
 
-    /** Whether a request with this id may start here; the id stays taken until its engine has answered. */
-    synchronized boolean hasRoom(String id) {
-        return !over && exchanges.size() < limits.engines().streams() && !exchanges.containsKey(id)
-                && !undone.containsKey(id);
+    /** Whether a request with this id may start here: there is a free stream, and no answer to the same id may still arrive. */
+    synchronized boolean canStart(String id) {
+        return !closed && exchanges.size() < limits.engines().streams() && !exchanges.containsKey(id)
+                && !abandonedIds.containsKey(id);
     }
 
+    /** Enqueues an attempt; false if the connection is closed or its mailbox is full. */
     boolean start(Attempt attempt) {
         Exchange exchange = new Exchange(attempt,
                 new PagedResult(limits.engines().pageBytes(), limits.engines().pages()));
         String id = attempt.request().id();
         synchronized (this) {
-            if (over) {
+            if (closed) {
                 return false;
             }
             exchanges.put(id, exchange);
         }
-        if (!peer.ask(new Command(exchange))) {
+        if (!connection.enqueueIfRoom(new AttemptMessage(exchange))) {
             synchronized (this) {
-                // If the connection has ended in between, its end has told of this attempt.
+                // If the connection was closed in between, onClosed has already reported this attempt.
                 return !exchanges.remove(id, exchange);
             }
         }
         return true;
     }
 
-    /** The letter that carries an attempt; one that is given up must not arrive whole later. */
-    private final class Command implements TcpConnection.OutboundMessage {
+    /** The message that sends an attempt; if the attempt is cancelled while it is written in part, the rest is not written. */
+    private final class AttemptMessage implements TcpConnection.OutboundMessage {
         private final Exchange exchange;
 
-        Command(Exchange exchange) {
+        AttemptMessage(Exchange exchange) {
             this.exchange = exchange;
         }
 
         @Override
-        public byte[] bytes(long now) {
-            return command(exchange, now);
+        public byte[] encode(long now) {
+            return encodeCommand(exchange, now);
         }
 
         @Override
@@ -168,23 +170,23 @@
         }
     }
 
-    /** The command, if it may still leave when its turn comes: it may have waited behind a slow engine. */
-    private byte[] command(Exchange exchange, long now) {
+    /** Encodes the command; null if it must not be sent any more, since it may have waited while the engine did not read. */
+    private byte[] encodeCommand(Exchange exchange, long now) {
         Attempt attempt = exchange.attempt;
         Request request = attempt.request();
-        boolean allowed = now <= link.lastSend() && now < attempt.endsAt() && attempt.mayBegin();
+        boolean allowed = now <= link.sendDeadline() && now < attempt.endsAt() && attempt.mayBegin();
         synchronized (this) {
             if (exchanges.get(request.id()) != exchange) {
                 return null;
             }
             exchange.written = allowed;
-            asked(now);
+            startSilencePeriod(now);
             if (!allowed) {
                 exchanges.remove(request.id());
             }
         }
         if (!allowed) {
-            core.ended(attempt, Attempt.Result.of(End.NOT_SENT));
+            dispatcher.ended(attempt, Attempt.Result.of(End.NOT_SENT));
             return null;
         }
         Map<String, String> fields = new LinkedHashMap<>();
@@ -197,97 +199,98 @@
         return Resp.array(utf8("do"), utf8(request.id()), utf8(Resp.fields(fields)), request.statement());
     }
 
-    /** Tells the engine if it has the attempt; an answer that is on its way already finds nothing here. */
+    /** Cancels the attempt, at the engine too if it was sent; an answer that still arrives is ignored. */
     @Override
-    public void giveUp(Attempt attempt) {
+    public void cancel(Attempt attempt) {
         String id = attempt.request().id();
         boolean written;
         synchronized (this) {
-            if (!isOut(attempt)) {
+            if (!isInFlight(attempt)) {
                 return;
             }
             written = exchanges.remove(id).written;
-            undone.put(id, Boolean.TRUE);
+            abandonedIds.put(id, Boolean.TRUE);
         }
         if (written) {
-            peer.send(Resp.words("undo", id));
+            connection.send(Resp.words("undo", id));
         }
     }
 
-    void bump(Attempt attempt, int priority) {
-        if (isOut(attempt)) {
-            peer.send(Resp.words("bump", attempt.request().id(), Integer.toString(priority)));
+    void setPriority(Attempt attempt, int priority) {
+        if (isInFlight(attempt)) {
+            connection.send(Resp.words("bump", attempt.request().id(), Integer.toString(priority)));
         }
     }
 
-    private synchronized boolean isOut(Attempt attempt) {
+    private synchronized boolean isInFlight(Attempt attempt) {
         Exchange exchange = exchanges.get(attempt.request().id());
         return exchange != null && exchange.attempt == attempt;
     }
 
-    boolean probe(Consumer<Map<String, Double>> answer) {
-        String tag;
+    /** Enqueues a probe; false if the connection is closed or its mailbox is full. {@code answer} gets null if there is none. */
+    boolean sendProbe(Consumer<Map<String, Double>> answer) {
+        String probeId;
         Probe probe = new Probe(answer);
         synchronized (this) {
-            if (over) {
+            if (closed) {
                 return false;
             }
-            tag = PROBE_TAG + probeCount++;
-            probes.put(tag, probe);
+            probeId = PROBE_ID_PREFIX + nextProbeNumber++;
+            probes.put(probeId, probe);
         }
-        boolean left = peer.ask(now -> {
-            written(probe, now);
-            return Resp.words("top", tag);
+        boolean enqueued = connection.enqueueIfRoom(now -> {
+            markWritten(probe, now);
+            return Resp.words("top", probeId);
         });
-        if (left) {
+        if (enqueued) {
             return true;
         }
         synchronized (this) {
-            // If the connection has ended in between, its end has told of this probe.
-            return probes.remove(tag) == null;
+            // If the connection was closed in between, onClosed has already answered this probe.
+            return probes.remove(probeId) == null;
         }
     }
 
     @Override
     public void close() {
         synchronized (this) {
-            closedHere = true;
-            over = true;
+            closedLocally = true;
+            closed = true;
         }
-        peer.close();
+        connection.close();
     }
 
     @Override
-    public synchronized void unreachable(IOException why) {
-        if (!closedHere) {
-            seen = UnreachableCause.of(why).evidence();
+    public synchronized void onUnreachable(IOException cause) {
+        if (!closedLocally) {
+            closeEvidence = UnreachableCause.of(cause).evidence();
         }
     }
 
     @Override
-    public void read(byte[] bytes, int count, long now) {
+    public void onRead(byte[] bytes, int count, long receivedAt) {
         synchronized (this) {
-            if (over) {
+            if (closed) {
                 return;
             }
-            heardAt = now;
+            lastReceivedAt = receivedAt;
         }
-        answers.feed(bytes, count);
+        decoder.feed(bytes, count);
         try {
-            for (List<byte[]> parts = answers.next(); parts != null; parts = answers.next()) {
-                take(EngineMessage.of(parts));
+            for (List<byte[]> parts = decoder.next(); parts != null; parts = decoder.next()) {
+                handleMessage(EngineMessage.of(parts));
             }
         } catch (ProtocolException e) {
-            // What follows can't be told apart any more; the end of the connection ends what is out on it.
+            // Message boundaries are lost from here on; closing the connection ends the attempts in flight on it.
             synchronized (this) {
-                over = true;
-                seen = Evidence.UNREADABLE;
+                closed = true;
+                closeEvidence = Evidence.UNREADABLE;
             }
             close();
         }
     }
 
-    private void take(EngineMessage message) {
+    private void handleMessage(EngineMessage message) {
         Probe probe;
         synchronized (this) {
             probe = message.kind() == EngineMessage.Kind.PROBE ? probes.remove(message.id()) : null;
@@ -304,132 +307,132 @@
             return;
         }
         switch (message.kind()) {
-            case OK -> first(exchange, message);
-            case PAGE -> page(exchange, message);
-            case FULL -> end(exchange, Attempt.Result.of(End.FULL));
-            case ERROR -> end(exchange, Attempt.Result.of(End.ERROR));
-            case STALE -> end(exchange, Attempt.Result.of(End.NOT_SENT));
-            case NOTE -> note(exchange.attempt, message);
-            case PROBE -> throw new ProtocolException("a probe's word for a request");
+            case OK -> handleFirstPage(exchange, message);
+            case PAGE -> handlePage(exchange, message);
+            case FULL -> endAttempt(exchange, Attempt.Result.of(End.FULL));
+            case ERROR -> endAttempt(exchange, Attempt.Result.of(End.ERROR));
+            case STALE -> endAttempt(exchange, Attempt.Result.of(End.NOT_SENT));
+            case NOTE -> reportStatus(exchange.attempt, message);
+            case PROBE -> throw new ProtocolException("probe answer received for a request");
         }
     }
 
-    /** Page 0 is there; all others are asked for at once, so that the answer waits for one way and back only. */
-    private void first(Exchange exchange, EngineMessage message) {
+    /** Handles page 0, and requests all other pages at once, so that they cost a single round trip. */
+    private void handleFirstPage(Exchange exchange, EngineMessage message) {
         if (!exchange.result.begin(message)) {
             return;
         }
         boolean isPaged = exchange.result.count() > 1;
         if (isPaged && !exchange.attempt.wanted()) {
-            forget(exchange, Attempt.Result.of(End.OK));
+            endEarly(exchange, Attempt.Result.of(End.OK));
             return;
         }
         if (isPaged) {
-            peer.send(exchange.result.requests(exchange.attempt.request().id()));
+            connection.send(exchange.result.requests(exchange.attempt.request().id()));
         }
-        put(exchange, 0, message.body());
+        storePage(exchange, 0, message.body());
     }
 
-    /** A second copy of a page takes nothing from the first. */
-    private void page(Exchange exchange, EngineMessage message) {
+    /** Handles a further page; a duplicate of a page is ignored. */
+    private void handlePage(Exchange exchange, EngineMessage message) {
         if (!exchange.result.awaits(message.page())) {
             return;
         }
         if (exchange.attempt.wanted()) {
-            put(exchange, message.page(), message.body());
+            storePage(exchange, message.page(), message.body());
         } else {
-            forget(exchange, Attempt.Result.of(End.OK));
+            endEarly(exchange, Attempt.Result.of(End.OK));
         }
     }
 
-    private void put(Exchange exchange, int page, byte[] rows) {
+    private void storePage(Exchange exchange, int page, byte[] rows) {
         PagedResult result = exchange.result;
         result.put(page, rows);
         if (result.size() > limits.engines().resultBytes()) {
-            forget(exchange, Attempt.Result.of(End.ERROR));
+            endEarly(exchange, Attempt.Result.of(End.ERROR));
         } else if (result.isWhole()) {
-            end(exchange, new Attempt.Result(End.OK, result.whole(), result.work(), result.memory()));
+            endAttempt(exchange, new Attempt.Result(End.OK, result.whole(), result.work(), result.memory()));
         }
     }
 
-    /** Ends an attempt whose further pages are not wanted; what is on its way finds nothing here. */
-    private void forget(Exchange exchange, Attempt.Result result) {
-        end(exchange, result);
-        peer.send(Resp.words("forget", exchange.attempt.request().id()));
+    /** Ends an attempt whose remaining pages are not wanted; pages that still arrive are ignored. */
+    private void endEarly(Exchange exchange, Attempt.Result result) {
+        endAttempt(exchange, result);
+        connection.send(Resp.words("forget", exchange.attempt.request().id()));
     }
 
-    private void note(Attempt attempt, EngineMessage message) {
+    private void reportStatus(Attempt attempt, EngineMessage message) {
         switch (message.note()) {
-            case "advance" -> core.noted(attempt, NoteKind.PROGRESS, message.amount());
-            case "disk" -> core.noted(attempt, NoteKind.SPILL, message.amount());
-            case "stall" -> core.noted(attempt,
+            case "advance" -> dispatcher.noted(attempt, NoteKind.PROGRESS, message.amount());
+            case "disk" -> dispatcher.noted(attempt, NoteKind.SPILL, message.amount());
+            case "stall" -> dispatcher.noted(attempt,
                     message.amount() >= 2 ? NoteKind.WAITS_LOAD : NoteKind.WAITS_MEMORY, message.amount());
             default -> { }
         }
     }
 
-    private void end(Exchange exchange, Attempt.Result result) {
+    private void endAttempt(Exchange exchange, Attempt.Result result) {
         synchronized (this) {
             String id = exchange.attempt.request().id();
             if (!exchanges.remove(id, exchange)) {
                 return;
             }
             if (result.end() != End.OK || !exchange.result.isWhole()) {
-                // A further attempt bears the same id: it must not meet here what may still come of this one.
-                undone.put(id, Boolean.TRUE);
+                // The next attempt of the request has the same id, and must not receive an answer to this one that still arrives.
+                abandonedIds.put(id, Boolean.TRUE);
             }
         }
-        core.ended(exchange.attempt, result);
+        dispatcher.ended(exchange.attempt, result);
     }
 
     @Override
-    public long due(long lastRead) {
-        long usual = Math.min(limits.engines().idle(), limits.engines().silence());
-        return lastRead + (answers.partial() ? limits.engines().partialAnswer() : usual);
+    public long timeoutAt(long lastReadAt) {
+        long idleOrSilence = Math.min(limits.engines().idle(), limits.engines().silence());
+        return lastReadAt + (decoder.partial() ? limits.engines().partialAnswer() : idleOrSilence);
     }
 
     /**
-     * Decides and marks in one step, so that no attempt starts on a connection about to close. One on which an answer
-     * breaks off, or an engine that should tell of what it runs says nothing, is of no use to what is out on it.
+     * Decides and marks the connection closed atomically, so that no attempt starts on a connection about to close. Closes it
+     * if it is idle, if an answer stops midway, or if the engine sends nothing although it should report on its requests.
      */
     @Override
-    public synchronized boolean quiet(long now) {
-        long still = now - Math.max(askedAt, heardAt);
+    public synchronized boolean onTimeout(long now) {
+        long quietTime = now - Math.max(awaitingSince, lastReceivedAt);
         boolean idle = exchanges.isEmpty() && probes.isEmpty();
-        if (answers.partial() || !idle && still >= limits.engines().silence()) {
-            seen = Evidence.SILENCE;
+        if (decoder.partial() || !idle && quietTime >= limits.engines().silence()) {
+            closeEvidence = Evidence.SILENCE;
         }
-        over |= answers.partial() || still >= (idle ? limits.engines().idle() : limits.engines().silence());
-        return !over;
+        closed |= decoder.partial() || quietTime >= (idle ? limits.engines().idle() : limits.engines().silence());
+        return !closed;
     }
 
     @Override
-    public void ended(boolean wasUp) {
-        List<Exchange> out;
-        List<Probe> asked;
-        Evidence told;
+    public void onClosed(boolean wasConnected) {
+        List<Exchange> inFlight;
+        List<Probe> openProbes;
+        Evidence evidence;
         synchronized (this) {
-            over = true;
-            boolean broken = wasUp && !closedHere && !(exchanges.isEmpty() && probes.isEmpty());
-            told = seen == null && broken ? Evidence.RESET : seen;
-            out = new ArrayList<>(exchanges.values());
-            asked = new ArrayList<>(probes.values());
+            closed = true;
+            boolean interrupted = wasConnected && !closedLocally && !(exchanges.isEmpty() && probes.isEmpty());
+            evidence = closeEvidence == null && interrupted ? Evidence.RESET : closeEvidence;
+            inFlight = new ArrayList<>(exchanges.values());
+            openProbes = new ArrayList<>(probes.values());
             exchanges.clear();
             probes.clear();
         }
-        if (!out.isEmpty()) {
-            link.log().info("engine.left", "connection ended with attempts out", "engine", link.engine(), "cause",
-                    peer.cause(), "out", out.stream().map(exchange -> exchange.attempt.request().id())
+        if (!inFlight.isEmpty()) {
+            link.log().info("engine.left", "connection closed with attempts in flight", "engine", link.engine(), "cause",
+                    connection.closeCause(), "out", inFlight.stream().map(exchange -> exchange.attempt.request().id())
                             .collect(Collectors.joining(" ")));
         }
-        if (told != null) {
-            core.witnessed(link.engine(), told);
+        if (evidence != null) {
+            dispatcher.witnessed(link.engine(), evidence);
         }
-        for (Exchange exchange : out) {
-            End end = exchange.written ? End.RESET : wasUp ? End.NOT_SENT : End.CONNECT_FAILED;
-            core.ended(exchange.attempt, Attempt.Result.of(end));
+        for (Exchange exchange : inFlight) {
+            End status = exchange.written ? End.RESET : wasConnected ? End.NOT_SENT : End.CONNECT_FAILED;
+            dispatcher.ended(exchange.attempt, Attempt.Result.of(status));
         }
-        asked.forEach(probe -> probe.answer.accept(null));
+        openProbes.forEach(probe -> probe.answer.accept(null));
     }
 
     private static byte[] utf8(String text) {
--- a/src/main/java/cairnline/transport/RespLink.java
+++ b/src/main/java/cairnline/transport/RespLink.java
@@ -9,22 +9,22 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** The way to one engine that speaks RESP; each connection carries many requests. */
+/** The connections to one engine that speaks RESP; each carries many requests at a time. */
 public final class RespLink extends PooledLink<RespConnection> {
     private final String engine;
     private final InetSocketAddress address;
-    private final Core core;
+    private final Core dispatcher;
     private final Limits limits;
     private final EventLoop loop;
     private final Events log;
 
-    /** A link without a connection to the engine with this id. */
-    public RespLink(String engine, InetSocketAddress address, Core core, Limits limits, EventLoop loop,
+    /** Creates a link to the engine with this id, which connects when it first sends something. */
+    public RespLink(String engine, InetSocketAddress address, Core dispatcher, Limits limits, EventLoop loop,
                     ConnectionBudget<Connection> budget, Events log) {
         super(limits.engines().connectionsEach(), budget, loop.clock());
         this.engine = engine;
         this.address = address;
-        this.core = core;
+        this.dispatcher = dispatcher;
         this.limits = limits;
         this.loop = loop;
         this.log = log;
@@ -40,30 +40,31 @@
 
     @Override
     public boolean send(Attempt attempt) {
-        RespConnection connection = connection(attempt.request().id());
+        RespConnection connection = acquireConnection(attempt.request().id());
         return connection != null && connection.start(attempt);
     }
 
     /**
-     * One that does not know the id: there the answer to an earlier attempt of the same request, which bears the
-     * same id, could be taken for the answer to this one.
+     * Returns a connection on which the id is not in use. Attempts of the same request have the same id, so a late answer to
+     * an earlier attempt could otherwise be mistaken for the answer to this one.
      */
-    private RespConnection connection(String id) {
-        return connection(known -> known.hasRoom(id), RespConnection::load, limits.engines().streamsSpread(), () -> {
-            RespConnection opened = new RespConnection(this, core, limits, loop);
-            opened.connect(address);
-            return opened;
-        });
+    private RespConnection acquireConnection(String id) {
+        return acquire(candidate -> candidate.canStart(id), RespConnection::openRequestCount,
+                limits.engines().streamsSpread(), () -> {
+                    RespConnection newConnection = new RespConnection(this, dispatcher, limits, loop);
+                    newConnection.connect(address);
+                    return newConnection;
+                });
     }
 
     @Override
     public void prioritise(Attempt attempt, int priority) {
-        connections().forEach(connection -> connection.bump(attempt, priority));
+        connections().forEach(connection -> connection.setPriority(attempt, priority));
     }
 
     @Override
     public boolean probe(Consumer<Map<String, Double>> answer) {
-        RespConnection connection = connection("");
-        return connection != null && connection.probe(answer);
+        RespConnection connection = acquireConnection("");
+        return connection != null && connection.sendProbe(answer);
     }
 }
--- a/src/main/java/cairnline/transport/SocketFront.java
+++ b/src/main/java/cairnline/transport/SocketFront.java
@@ -9,68 +9,69 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** What the fronts share: a listener whose sessions hand their requests to the core. */
+/** Base of the client-facing servers: a listener whose sessions pass their requests to the dispatcher. */
 public abstract class SocketFront {
     private final Listener listener;
-    private final Core core;
+    private final Core dispatcher;
     private final Limits limits;
     private final Events log;
-    private final AtomicLong openBytes = new AtomicLong();
+    private final AtomicLong heldBytes = new AtomicLong();
     private volatile boolean stopping;
 
-    SocketFront(Listener listener, Core core, Limits limits, Events log) {
+    SocketFront(Listener listener, Core dispatcher, Limits limits, Events log) {
         this.listener = listener;
-        this.core = core;
+        this.dispatcher = dispatcher;
         this.limits = limits;
         this.log = log;
     }
 
-    abstract Listener.Session session(SocketChannel channel);
+    abstract Listener.Session newSession(SocketChannel channel);
 
-    /** Starts to accept. */
+    /** Starts to accept connections. */
     public void start() {
-        listener.start(this::session);
+        listener.start(this::newSession);
     }
 
-    /** Tells all clients, those still to come too, to ask no more, as far as their protocol can. */
-    public void stopping() {
+    /** Asks all present and future clients to send no further requests, as far as their protocol has a message for that. */
+    public void announceShutdown() {
         stopping = true;
-        listener.stopping();
+        listener.announceShutdown();
     }
 
     /**
-     * Ends all connections in order: what the system holds unread is read and answered, then the output is ended and the
-     * clients have time to end theirs. Waits for that, this many microseconds at most.
+     * Closes all connections gracefully: input that waits in the sockets is read and answered, then the output is shut down
+     * and the clients have time to shut down theirs. Blocks until that is done or {@code timeoutMicros} have passed.
      */
-    public void drain(long most) {
+    public void drain(long timeoutMicros) {
         CountDownLatch drained = new CountDownLatch(1);
         listener.drain(drained);
         try {
-            drained.await(most, TimeUnit.MICROSECONDS);
+            drained.await(timeoutMicros, TimeUnit.MICROSECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** Connections that are open now. */
-    public int connections() {
-        return listener.connections();
+    /** Returns the number of open connections. */
+    public int connectionCount() {
+        return listener.connectionCount();
     }
 
     /**
-     * Counts bytes held for clients, or given back; false if they are too many. Each client is within its own limits
-     * where hundreds of them together would fill the memory.
+     * Adds to the bytes held for all clients together, or subtracts if {@code bytes} is negative. Returns whether the total is
+     * within its limit; the bytes are counted either way. The limits of a single client do not prevent hundreds of clients
+     * from exhausting the memory together.
      */
-    boolean hold(long bytes) {
-        return openBytes.addAndGet(bytes) <= limits.clients().heldBytes();
+    boolean addHeldBytes(long bytes) {
+        return heldBytes.addAndGet(bytes) <= limits.clients().heldBytes();
     }
 
     boolean isStopping() {
         return stopping;
     }
 
-    Core core() {
-        return core;
+    Core dispatcher() {
+        return dispatcher;
     }
 
     Limits limits() {
--- a/src/main/java/cairnline/transport/StandInEngine.java
+++ b/src/main/java/cairnline/transport/StandInEngine.java
@@ -10,88 +10,91 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
 
-/** A stand-in for an OData engine: the same fixed answer to every read and to every write. It models nothing. */
+/**
+ * A stand-in for an OData engine, which gives one fixed answer to every read, and another to every write. It models neither
+ * load nor latency.
+ */
 public final class StandInEngine {
-    private static final byte[] ROWS = ("{\"@odata.context\":\"$metadata#Books\",\"value\":["
+    private static final byte[] FIXED_ANSWER = ("{\"@odata.context\":\"$metadata#Books\",\"value\":["
             + "{\"ID\":1,\"Title\":\"Fixed answer\"}]}").getBytes(StandardCharsets.UTF_8);
 
     private final Listener listener;
     private final Limits limits;
 
-    /** A stand-in at this listener. */
+    /** Creates a stand-in at this listener, not yet started. */
     public StandInEngine(Listener listener, Limits limits) {
         this.listener = listener;
         this.limits = limits;
     }
 
-    /** Starts to answer. */
+    /** Starts to accept connections. */
     public void start() {
         listener.start(Session::new);
     }
 
     private final class Session implements Listener.Session, TcpConnection.Handler {
-        private final TcpConnection peer;
-        private final HttpDecoder requests = new HttpDecoder(limits.http().headBytes(), limits.http().bodyBytes());
-        private Runnable whenEnded = () -> { };
+        private final TcpConnection connection;
+        private final HttpDecoder decoder = new HttpDecoder(limits.http().headBytes(), limits.http().bodyBytes());
+        private Runnable closeListener = () -> { };
 
         Session(SocketChannel channel) {
-            peer = TcpConnection.accepted(listener.loop(), channel, limits, this);
+            connection = TcpConnection.forAcceptedChannel(listener.loop(), channel, limits, this);
         }
 
         @Override
-        public void start(long since, Runnable ended) throws IOException {
-            whenEnded = ended;
-            peer.start(since);
+        public void start(long arrivedSince, Runnable onClosed) throws IOException {
+            closeListener = onClosed;
+            connection.start(arrivedSince);
         }
 
         @Override
-        public void stopping() {
-            peer.finish();
+        public void announceShutdown() {
+            connection.finishOutput();
         }
 
         @Override
         public void drain() {
-            peer.finish();
+            connection.finishOutput();
         }
 
         @Override
-        public void tooMany() {
-            peer.close();
+        public void reject() {
+            connection.close();
         }
 
         @Override
         public void close() {
-            peer.close();
+            connection.close();
         }
 
         @Override
-        public void read(byte[] bytes, int count, long now) {
+        public void onRead(byte[] bytes, int count, long receivedAt) {
             try {
-                requests.feed(bytes, count);
-                for (HttpMessage m = requests.next(); m != null; m = requests.next()) {
-                    HttpMessage answer = m.method().equals("GET")
-                            ? HttpMessage.response(200, ODataModel.JSON, ROWS)
+                decoder.feed(bytes, count);
+                for (HttpMessage request = decoder.next(); request != null; request = decoder.next()) {
+                    HttpMessage answer = request.method().equals("GET")
+                            ? HttpMessage.response(200, ODataModel.JSON, FIXED_ANSWER)
                             : HttpMessage.response(204, Map.of(), new byte[0]);
-                    peer.send(answer.bytes());
+                    connection.send(answer.bytes());
                 }
             } catch (ProtocolException e) {
-                peer.close();
+                connection.close();
             }
         }
 
         @Override
-        public long due(long lastRead) {
-            return lastRead + limits.engines().idle();
+        public long timeoutAt(long lastReadAt) {
+            return lastReadAt + limits.engines().idle();
         }
 
         @Override
-        public boolean quiet(long now) {
+        public boolean onTimeout(long now) {
             return false;
         }
 
         @Override
-        public void ended(boolean wasUp) {
-            whenEnded.run();
+        public void onClosed(boolean wasConnected) {
+            closeListener.run();
         }
     }
 }
--- a/src/main/java/cairnline/transport/TcpConnection.java
+++ b/src/main/java/cairnline/transport/TcpConnection.java
@@ -16,83 +16,92 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * One TCP connection on an {@link EventLoop}: it reads for its handler and writes letters in the order left. Other threads
- * only leave letters; they never wait. A peer that takes nothing is not read any more once many letters wait for it, so
- * that what is held for it stays bounded.
+ * One TCP connection on an {@link EventLoop}. It passes received bytes to its handler and writes outbound messages in the
+ * order in which they were enqueued. Any thread may enqueue a message and never blocks. Reading pauses while the peer does
+ * not read and many messages wait for it, so that the memory held for one peer stays bounded.
  */
 final class TcpConnection implements EventLoop.Handler {
-    /** So many letters may wait before the peer is not read any more. */
-    private static final int LETTERS_BEFORE_PAUSE = 64;
-    /** Reads of one connection before others are served again. */
-    private static final int READS_PER_ROUND = 8;
-    /** What a channel's read gives at the end; other numbers below 0 stand for a call that was interrupted. */
+    /** Reading pauses while more messages than this wait for a peer that does not read. */
+    private static final int READ_PAUSE_THRESHOLD_MESSAGES = 64;
+    /** Keeps one busy connection from starving the others on the loop. */
+    private static final int MAX_READS_PER_ROUND = 8;
+    /** Result of a channel's read at the end of the input; other negative results mean an interrupted call. */
     private static final int END_OF_INPUT = -1;
 
     private final EventLoop loop;
     private final Limits limits;
     private final Clock clock;
     private final Handler handler;
-    private final Queue<OutboundMessage> letters = new ConcurrentLinkedQueue<>();
-    private final AtomicInteger waiting = new AtomicInteger();
+    private final Queue<OutboundMessage> messages = new ConcurrentLinkedQueue<>();
+    private final AtomicInteger pendingCount = new AtomicInteger();
     private final AtomicBoolean flushScheduled = new AtomicBoolean();
-    private volatile boolean over;
-    private volatile boolean finishing;
-    private volatile String cause = "closed here";
+    private volatile boolean closed;
+    private volatile boolean finishingOutput;
+    private volatile String closeCause = "closed locally";
     private volatile String address = "";
 
-    /* Only the loop's thread touches what follows. */
+    /* The fields below are confined to the loop's thread. */
     private SocketChannel channel;
     private SelectionKey key;
     private EventLoop.Timer timer;
-    private boolean up;
-    /** What is being written, and its letter; null between letters. */
-    private ByteBuffer current;
-    private OutboundMessage currentLetter;
-    /** Since when the peer has taken nothing of {@link #current}; 0 if nothing waits. */
-    private long stalledSince;
-    private long lastRead;
-    /** Since when bytes may have waited unread; 0 if all that had come was read. */
+    private boolean connected;
+    /** The bytes being written, and their message; null between messages. */
+    private ByteBuffer currentBytes;
+    private OutboundMessage currentMessage;
+    /** Since when {@link #currentBytes} could not be written completely; 0 while nothing is blocked. */
+    private long writeBlockedSince;
+    private long lastReadAt;
+    /** Since when received bytes may have waited in the socket; 0 if the socket was read empty. */
     private long unreadSince;
-    private boolean inputEnded;
+    private boolean inputClosed;
     private boolean inputIgnored;
     private long ignoredBytes;
-    /** When a connection whose output has been ended is closed; never before. */
+    /** When to close a connection whose output is shut down; {@code Long.MAX_VALUE} while the output is open. */
     private long lingerUntil = Long.MAX_VALUE;
 
-    /** What is done with a connection; all on the loop's thread. */
+    /** Receives the events of a connection, all on the loop's thread. */
     interface Handler {
-        /** Bytes have come, no earlier than at this time. */
-        void read(byte[] bytes, int count, long arrivedAt);
-
-        /** When {@link #quiet} is asked next, if the last bytes came then; microseconds. */
-        long due(long lastRead);
-
-        /** That time has come; the connection ends if this gives false. */
-        boolean quiet(long now);
-
-        /** Whether nothing is open: an end of the connection then proves that a letter not yet written never ran. */
+        /**
+         * Handles received bytes. {@code bytes} is reused after the call; {@code receivedAt} is the earliest time at which
+         * they can have arrived, in microseconds.
+         */
+        void onRead(byte[] bytes, int count, long receivedAt);
+
+        /** Returns when to call {@link #onTimeout} next, given the time of the last read; microseconds. */
+        long timeoutAt(long lastReadAt);
+
+        /** Handles the timeout of {@link #timeoutAt}; returns false to close the connection. */
+        boolean onTimeout(long now);
+
+        /**
+         * Whether the peer owes nothing: if the connection turns out to be closed then, a message that was not written yet
+         * has certainly not been executed.
+         */
         default boolean isQuiescent() {
             return false;
         }
 
-        /** The connection did not come up, for this reason; {@link #ended} is told next. */
-        default void unreachable(IOException why) { }
+        /** Handles a failure to connect; {@link #onClosed} follows. */
+        default void onUnreachable(IOException cause) { }
 
-        /** The other side sends no more, since this time at the earliest, but may still read; ends if this gives false. */
-        default boolean inputEnded(long since) {
+        /**
+         * Handles the end of the input, which came at {@code since} at the earliest; the peer may still read. Returns false
+         * to close the connection.
+         */
+        default boolean onInputClosed(long since) {
             return false;
         }
 
-        /** The connection is over, or never came up; told once. */
-        void ended(boolean wasUp);
+        /** Handles the end of the connection, or of the attempt to connect; called once. */
+        void onClosed(boolean wasConnected);
     }
 
-    /** Something to write. */
+    /** A message in the write queue. */
     interface OutboundMessage {
-        /** Its bytes, made when its turn has come; null if by then there is nothing to be written. */
-        byte[] bytes(long now);
+        /** Encodes the message when its turn to be written has come; null if there is nothing to write any more. */
+        byte[] encode(long now);
 
-        /** Whether the rest of it may follow after the peer has taken a part only; else the connection ends. */
+        /** Whether to go on with a message that is written in part; the connection is closed otherwise. */
         default boolean isWanted() {
             return true;
         }
@@ -105,145 +114,151 @@
         this.handler = handler;
     }
 
-    /** A connection that is up, not served before {@link #start}. */
-    static TcpConnection accepted(EventLoop loop, SocketChannel channel, Limits limits, Handler handler) {
-        TcpConnection peer = new TcpConnection(loop, limits, handler);
-        peer.channel = channel;
-        return peer;
+    /** Wraps an accepted channel; nothing is read or written before {@link #start}. */
+    static TcpConnection forAcceptedChannel(EventLoop loop, SocketChannel channel, Limits limits, Handler handler) {
+        TcpConnection connection = new TcpConnection(loop, limits, handler);
+        connection.channel = channel;
+        return connection;
     }
 
-    /** A connection that is being made; letters wait until it is up. Its handler may hear of its end at any time. */
-    static TcpConnection connecting(EventLoop loop, Limits limits, Handler handler) {
+    /**
+     * Creates a connection for {@link #connect}; messages wait until it is connected. Its handler may be notified of its end
+     * at any time.
+     */
+    static TcpConnection unconnected(EventLoop loop, Limits limits, Handler handler) {
         return new TcpConnection(loop, limits, handler);
     }
 
-    /** Serves an accepted connection, whose first bytes may have come since this time; on the loop's thread. */
-    void start(long since) throws IOException {
-        unreadSince = since;
+    /** Starts an accepted connection, whose first bytes may have arrived since {@code arrivedSince}; on the loop's thread. */
+    void start(long arrivedSince) throws IOException {
+        unreadSince = arrivedSince;
         channel.configureBlocking(false);
         channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
         address = String.valueOf(channel.getRemoteAddress());
         key = loop.register(channel, SelectionKey.OP_READ, this);
-        cameUp();
+        onConnected();
     }
 
-    /** Connects; any thread may call. */
-    void connect(InetSocketAddress to) {
-        address = String.valueOf(to);
+    /** Connects without blocking; safe for any thread. */
+    void connect(InetSocketAddress remote) {
+        address = String.valueOf(remote);
         loop.execute(() -> {
-            if (over) {
+            if (closed) {
                 return;
             }
             try {
-                connectNow(to);
+                connectNow(remote);
             } catch (IOException e) {
-                unreachable(e);
+                failConnect(e);
             }
         });
     }
 
-    private void connectNow(InetSocketAddress to) throws IOException {
-        if (to.isUnresolved()) {
-            throw new UnknownHostException(to.getHostString());
+    private void connectNow(InetSocketAddress remote) throws IOException {
+        if (remote.isUnresolved()) {
+            throw new UnknownHostException(remote.getHostString());
         }
         channel = SocketChannel.open();
         channel.configureBlocking(false);
         channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
-        boolean connected = channel.connect(to);
-        key = loop.register(channel, connected ? SelectionKey.OP_READ : SelectionKey.OP_CONNECT, this);
-        if (connected) {
-            cameUp();
+        boolean connectedAtOnce = channel.connect(remote);
+        key = loop.register(channel, connectedAtOnce ? SelectionKey.OP_READ : SelectionKey.OP_CONNECT, this);
+        if (connectedAtOnce) {
+            onConnected();
         } else {
             timer = loop.schedule(clock.micros() + limits.connections().connect(), this,
-                    () -> unreachable(new SocketTimeoutException("no connection in time")));
+                    () -> failConnect(new SocketTimeoutException("connect timed out")));
         }
     }
 
-    private void unreachable(IOException why) {
-        if (!over) {
-            cause = "not reached: " + why.getMessage();
-            handler.unreachable(why);
+    private void failConnect(IOException failure) {
+        if (!closed) {
+            closeCause = "connect failed: " + failure.getMessage();
+            handler.onUnreachable(failure);
         }
-        end();
+        tearDown();
     }
 
-    private void cameUp() {
-        up = true;
-        lastRead = clock.micros();
+    private void onConnected() {
+        connected = true;
+        lastReadAt = clock.micros();
         loop.cancel(timer);
         timer = null;
-        rearm();
+        rearmTimer();
         flush();
     }
 
-    /** The other side's address. */
+    /** Returns the peer's address as text; empty before it is known. */
     String address() {
         return address;
     }
 
-    /** Why the connection ended, in words. */
-    String cause() {
-        return cause;
+    /** Returns why the connection was closed, for log lines. */
+    String closeCause() {
+        return closeCause;
     }
 
-    /** Leaves a letter unless the connection is over or too many wait. */
-    boolean ask(OutboundMessage letter) {
-        if (waiting.get() >= limits.connections().mailbox()) {
+    /** Enqueues a message; false if the connection is closed or its mailbox is full. */
+    boolean enqueueIfRoom(OutboundMessage message) {
+        if (pendingCount.get() >= limits.connections().mailbox()) {
             return false;
         }
-        return offer(letter);
+        return enqueue(message);
     }
 
-    /** Leaves a letter; false if the connection is over. */
-    boolean offer(OutboundMessage letter) {
-        if (over) {
+    /** Enqueues a message regardless of the mailbox limit; false if the connection is closed. */
+    boolean enqueue(OutboundMessage message) {
+        if (closed) {
             return false;
         }
-        waiting.incrementAndGet();
-        letters.add(letter);
+        pendingCount.incrementAndGet();
+        messages.add(message);
         scheduleFlush();
         return true;
     }
 
-    /** Leaves bytes to be written. */
+    /** Enqueues bytes regardless of the mailbox limit. */
     void send(byte[] bytes) {
-        offer(now -> bytes);
+        enqueue(now -> bytes);
     }
 
-    /** Whether all that was left has been handed to the system. */
+    /** Whether all enqueued messages have been passed to the operating system. */
     boolean isFlushed() {
-        return waiting.get() == 0;
+        return pendingCount.get() == 0;
     }
 
-    /** Ends the output once all that was left is written, and the connection once the peer has ended it too. */
-    void finish() {
-        finishing = true;
+    /**
+     * Shuts the output down once all enqueued messages are written, and closes the connection once the peer has shut its
+     * output down too, or after the linger time.
+     */
+    void finishOutput() {
+        finishingOutput = true;
         scheduleFlush();
     }
 
-    /** What comes from now on is dropped; on the loop's thread. */
+    /** Drops all input from now on; on the loop's thread. */
     void ignoreInput() {
         inputIgnored = true;
     }
 
-    /** Ends the connection; its handler hears of it on the loop's thread. */
+    /** Closes the connection; its handler is notified on the loop's thread. Safe for any thread. */
     void close() {
-        loop.execute(this::end);
+        loop.execute(this::tearDown);
     }
 
-    /** Ends the connection now, for this reason; on the loop's thread. */
-    void closeNow(String why) {
-        cause = why;
-        end();
+    /** Closes the connection at once, with a cause for log lines; on the loop's thread. */
+    void closeNow(String reason) {
+        closeCause = reason;
+        tearDown();
     }
 
-    /** Refuses a connection that was not started: as much as fits is written, and it is closed. */
-    static void turnAway(SocketChannel channel, byte[] bytes) {
+    /** Closes a channel that was not started, after writing as much of the bytes as the socket buffer takes. */
+    static void reject(SocketChannel channel, byte[] bytes) {
         try {
             channel.configureBlocking(false);
             channel.write(ByteBuffer.wrap(bytes));
         } catch (IOException e) {
-            // It has left already.
+            // The client has already disconnected.
         }
         Threads.close(channel);
     }
@@ -258,221 +273,227 @@
     }
 
     @Override
-    public void ready(SelectionKey ready) {
-        if (ready.isConnectable()) {
+    public void onReady(SelectionKey readyKey) {
+        if (readyKey.isConnectable()) {
             finishConnect();
             return;
         }
-        if (ready.isWritable()) {
+        if (readyKey.isWritable()) {
             flush();
         }
-        if (!over && ready.isReadable()) {
-            for (int i = 0; i < READS_PER_ROUND && readNow(); i++) {
-                // A short read is no proof that there is no more.
+        if (!closed && readyKey.isReadable()) {
+            for (int i = 0; i < MAX_READS_PER_ROUND && readNow(); i++) {
+                // A short read does not show that the socket is empty.
             }
-            rearm();
+            rearmTimer();
         }
     }
 
     @Override
-    public void failed(Throwable failure) {
-        cause = "failed: " + failure;
-        end();
+    public void onFailure(Throwable failure) {
+        closeCause = "internal error: " + failure;
+        tearDown();
     }
 
     private void finishConnect() {
         try {
             channel.finishConnect();
         } catch (IOException e) {
-            unreachable(e);
+            failConnect(e);
             return;
         }
-        cameUp();
+        onConnected();
     }
 
-    /** Reads once; false if nothing was there, which alone proves that all that had come was read. On the loop's thread. */
+    /**
+     * Reads once. Returns false if there was nothing to read, which alone shows that the socket is empty, or if no further
+     * read is possible. On the loop's thread.
+     */
     boolean readNow() {
-        if (over || !up || inputEnded) {
+        if (closed || !connected || inputClosed) {
             return false;
         }
-        long arrivedAt = unreadSince > 0 ? unreadSince : loop.arrivedSince();
+        long receivedAt = unreadSince > 0 ? unreadSince : loop.earliestArrival();
         ByteBuffer buffer = loop.readBuffer();
         int count;
         try {
             count = channel.read(buffer);
         } catch (IOException e) {
-            cause = "read failed: " + e.getMessage();
-            end();
+            closeCause = "read failed: " + e.getMessage();
+            tearDown();
             return false;
         }
-        unreadSince = count == 0 ? 0 : arrivedAt;
+        unreadSince = count == 0 ? 0 : receivedAt;
         if (count == END_OF_INPUT) {
-            endOfInput(arrivedAt);
+            handleEndOfInput(receivedAt);
         } else if (count > 0) {
-            take(buffer.array(), count, arrivedAt);
+            deliver(buffer.array(), count, receivedAt);
         }
-        return count != 0 && !over && !inputEnded;
+        return count != 0 && !closed && !inputClosed;
     }
 
-    private void take(byte[] bytes, int count, long arrivedAt) {
+    private void deliver(byte[] bytes, int count, long receivedAt) {
         if (inputIgnored || lingerUntil < Long.MAX_VALUE) {
             ignoredBytes += count;
-            updateInterest();
+            updateInterestOps();
             return;
         }
-        lastRead = clock.micros();
-        handler.read(bytes, count, arrivedAt);
+        lastReadAt = clock.micros();
+        handler.onRead(bytes, count, receivedAt);
     }
 
-    private void endOfInput(long since) {
-        inputEnded = true;
+    private void handleEndOfInput(long since) {
+        inputClosed = true;
         if (lingerUntil < Long.MAX_VALUE) {
-            cause = "ended by both sides";
-            end();
-        } else if (finishing || handler.inputEnded(since)) {
-            updateInterest();
+            closeCause = "closed by both sides";
+            tearDown();
+        } else if (finishingOutput || handler.onInputClosed(since)) {
+            updateInterestOps();
         } else {
-            cause = "end of input";
-            end();
+            closeCause = "closed by the peer";
+            tearDown();
         }
     }
 
-    /** Writes as much as the system takes; on the loop's thread. */
+    /** Writes as much as the socket buffer takes; on the loop's thread. */
     private void flush() {
-        if (over || !up) {
+        if (closed || !connected) {
             return;
         }
         try {
-            while (nextLetter()) {
-                if (stalledSince > 0 && !currentLetter.isWanted()) {
-                    closeNow("given up while a part of it was written");
+            while (prepareNextMessage()) {
+                if (writeBlockedSince > 0 && !currentMessage.isWanted()) {
+                    closeNow("message abandoned while partially written");
                     return;
                 }
-                channel.write(current);
-                if (current.hasRemaining()) {
-                    stalledSince = stalledSince == 0 ? clock.micros() : stalledSince;
+                channel.write(currentBytes);
+                if (currentBytes.hasRemaining()) {
+                    writeBlockedSince = writeBlockedSince == 0 ? clock.micros() : writeBlockedSince;
                     break;
                 }
-                current = null;
-                stalledSince = 0;
-                waiting.decrementAndGet();
+                currentBytes = null;
+                writeBlockedSince = 0;
+                pendingCount.decrementAndGet();
             }
-            if (finishing && current == null && !over && lingerUntil == Long.MAX_VALUE) {
-                endOutput();
+            if (finishingOutput && currentBytes == null && !closed && lingerUntil == Long.MAX_VALUE) {
+                shutdownOutput();
             }
         } catch (IOException e) {
-            cause = "write failed: " + e.getMessage();
-            end();
+            closeCause = "write failed: " + e.getMessage();
+            tearDown();
         }
-        if (!over) {
-            updateInterest();
-            rearm();
+        if (!closed) {
+            updateInterestOps();
+            rearmTimer();
         }
     }
 
-    /** Whether there is something to write; makes the next letter's bytes where none are left. */
-    private boolean nextLetter() {
-        while (!over && current == null) {
-            if (letters.isEmpty() || handler.isQuiescent() && !stillUp()) {
+    /** Encodes the next message if none is being written; returns whether there are bytes to write. */
+    private boolean prepareNextMessage() {
+        while (!closed && currentBytes == null) {
+            if (messages.isEmpty() || handler.isQuiescent() && !checkStillOpen()) {
                 return false;
             }
-            currentLetter = letters.poll();
-            byte[] bytes = bytesOf(currentLetter);
+            currentMessage = messages.poll();
+            byte[] bytes = encode(currentMessage);
             if (bytes == null) {
-                waiting.decrementAndGet();
+                pendingCount.decrementAndGet();
             } else {
-                current = ByteBuffer.wrap(bytes);
+                currentBytes = ByteBuffer.wrap(bytes);
             }
         }
-        return !over;
+        return !closed;
     }
 
-    /** One bad letter must not end the connection, and with it all that is open there. */
-    private byte[] bytesOf(OutboundMessage letter) {
+    /** A message that fails to encode must not close the connection, and with it everything in flight there. */
+    private byte[] encode(OutboundMessage message) {
         try {
-            return letter.bytes(clock.micros());
+            return message.encode(clock.micros());
         } catch (RuntimeException | OutOfMemoryError e) {
-            EventLoop.report(e);
+            EventLoop.reportUncaught(e);
             return null;
         }
     }
 
-    /** Looks for the end of a connection on which nothing is open, which proves that what is not written never ran. */
-    private boolean stillUp() {
+    /**
+     * Checks for the end of a connection on which nothing is in flight: if it is closed now, the messages not yet written
+     * have certainly not been executed.
+     */
+    private boolean checkStillOpen() {
         readNow();
-        return !over;
+        return !closed;
     }
 
-    private void endOutput() throws IOException {
+    private void shutdownOutput() throws IOException {
         channel.shutdownOutput();
         lingerUntil = clock.micros() + limits.connections().linger();
-        if (inputEnded) {
-            cause = "ended by both sides";
-            end();
+        if (inputClosed) {
+            closeCause = "closed by both sides";
+            tearDown();
         }
     }
 
-    private void updateInterest() {
-        if (over || !up) {
+    private void updateInterestOps() {
+        if (closed || !connected) {
             return;
         }
-        boolean paused = waiting.get() > LETTERS_BEFORE_PAUSE && current != null;
-        boolean reads = !inputEnded && !paused && ignoredBytes <= limits.connections().ignoredBytes();
-        if (!reads && unreadSince == 0) {
+        boolean paused = pendingCount.get() > READ_PAUSE_THRESHOLD_MESSAGES && currentBytes != null;
+        boolean reading = !inputClosed && !paused && ignoredBytes <= limits.connections().ignoredBytes();
+        if (!reading && unreadSince == 0) {
             unreadSince = clock.micros();
         }
-        int operations = (reads ? SelectionKey.OP_READ : 0) | (current != null ? SelectionKey.OP_WRITE : 0);
+        int operations = (reading ? SelectionKey.OP_READ : 0) | (currentBytes != null ? SelectionKey.OP_WRITE : 0);
         if (key.interestOps() != operations) {
             key.interestOps(operations);
         }
     }
 
-    /** Sets the timer to when this connection must be looked at, if that is earlier than it is set. */
-    private void rearm() {
-        if (over || !up) {
+    /** Moves the timer to the next timeout if that is earlier than its present time. */
+    private void rearmTimer() {
+        if (closed || !connected) {
             return;
         }
-        long due = due();
-        if (timer != null && timer.due() <= due) {
+        long timeoutAt = nextTimeoutAt();
+        if (timer != null && timer.dueAt() <= timeoutAt) {
             return;
         }
         loop.cancel(timer);
-        timer = due == Long.MAX_VALUE ? null : loop.schedule(due, this, this::timedOut);
+        timer = timeoutAt == Long.MAX_VALUE ? null : loop.schedule(timeoutAt, this, this::onTimer);
     }
 
-    private long due() {
-        long stalled = stalledSince == 0 ? Long.MAX_VALUE : stalledSince + limits.connections().writeStall();
-        long asked = finishing ? lingerUntil : handler.due(lastRead);
-        return Math.min(stalled, asked);
+    private long nextTimeoutAt() {
+        long writeStallAt = writeBlockedSince == 0 ? Long.MAX_VALUE : writeBlockedSince + limits.connections().writeStall();
+        long waitUntil = finishingOutput ? lingerUntil : handler.timeoutAt(lastReadAt);
+        return Math.min(writeStallAt, waitUntil);
     }
 
-    private void timedOut() {
+    private void onTimer() {
         timer = null;
-        // What the system holds unread counts as come in time, where it is used at all.
-        boolean hasCome = !inputIgnored && !finishing && readNow();
-        if (!hasCome && !over && clock.micros() >= due()) {
-            lookAgain(clock.micros());
+        // Bytes that still wait in the socket count as received in time, unless the input is ignored.
+        boolean received = !inputIgnored && !finishingOutput && readNow();
+        if (!received && !closed && clock.micros() >= nextTimeoutAt()) {
+            handleTimeout(clock.micros());
         }
-        rearm();
+        rearmTimer();
     }
 
-    private void lookAgain(long now) {
-        if (stalledSince > 0 && now - stalledSince >= limits.connections().writeStall()) {
-            closeNow("it takes nothing");
+    private void handleTimeout(long now) {
+        if (writeBlockedSince > 0 && now - writeBlockedSince >= limits.connections().writeStall()) {
+            closeNow("write timed out: peer does not read");
         } else if (now >= lingerUntil) {
-            closeNow("not ended by the other side in time");
-        } else if (!handler.quiet(now)) {
-            closeNow("idle or silent");
+            closeNow("peer did not close its side in time");
+        } else if (!handler.onTimeout(now)) {
+            closeNow("idle or unresponsive");
         } else {
-            lastRead = now;
+            lastReadAt = now;
         }
     }
 
-    private void end() {
-        if (over) {
+    private void tearDown() {
+        if (closed) {
             return;
         }
-        over = true;
+        closed = true;
         loop.cancel(timer);
         if (key != null) {
             key.cancel();
@@ -480,7 +501,7 @@
         if (channel != null) {
             Threads.close(channel);
         }
-        letters.clear();
-        handler.ended(up);
+        messages.clear();
+        handler.onClosed(connected);
     }
 }
--- a/src/main/java/cairnline/transport/Threads.java
+++ b/src/main/java/cairnline/transport/Threads.java
@@ -4,22 +4,23 @@
 import java.io.Closeable;
 import java.io.IOException;
 
-/** Platform threads with small stacks, and quiet closing. */
+/** Helpers to start threads and to close resources. */
 final class Threads {
     private Threads() { }
 
-    /** Starts a thread without which the program serves nobody; the stack is in bytes. */
-    static void startVital(String name, int stackBytes, Runnable task) {
+    /** Starts a daemon thread whose end must end the process, since the program cannot serve requests without it. */
+    static void startCritical(String name, int stackBytes, Runnable task) {
         Thread thread = new Thread(null, Vital.task(task), name, stackBytes);
         thread.setDaemon(true);
         thread.start();
     }
 
+    /** Closes a resource and ignores failures to do so. */
     static void close(Closeable closeable) {
         try {
             closeable.close();
         } catch (IOException e) {
-            // It is closed for us either way.
+            // The descriptor is released either way.
         }
     }
 }
--- a/src/main/java/cairnline/transport/UnreachableCause.java
+++ b/src/main/java/cairnline/transport/UnreachableCause.java
@@ -6,16 +6,16 @@
 import java.net.NoRouteToHostException;
 import java.net.SocketTimeoutException;
 
-/** Why a connection did not come up, and what that tells of the engine. */
+/** Why a connection could not be established, and what that says about the engine's state. */
 enum UnreachableCause {
-    /** Its address refused the connection. */
+    /** The address refused the connection. */
     REFUSED(Evidence.REFUSED),
-    /** Nothing came back in time, or nothing leads there. */
-    SILENT(Evidence.SILENCE),
-    /** This system had no socket, port or memory for it, which tells nothing of the engine. */
+    /** Connecting timed out, or there is no route to the address. */
+    NO_ANSWER(Evidence.SILENCE),
+    /** A local problem such as a lack of sockets, ports or memory, which says nothing about the engine. */
     LOCAL(null);
 
-    private static final String REFUSAL = "Connection refused";
+    private static final String REFUSAL_MESSAGE = "Connection refused";
 
     private final Evidence evidence;
 
@@ -23,18 +23,19 @@
         this.evidence = evidence;
     }
 
-    /** The evidence of the engine's state; null for none. */
+    /** Returns the evidence of the engine's state; null for none. */
     Evidence evidence() {
         return evidence;
     }
 
-    static UnreachableCause of(IOException why) {
-        // The platform's library has one class for a refusal and for a time-out that the system found.
-        if (why instanceof ConnectException && String.valueOf(why.getMessage()).startsWith(REFUSAL)) {
+    /** Classifies a failure to connect. */
+    static UnreachableCause of(IOException failure) {
+        // Java reports a refusal and a time-out detected by the operating system with the same exception class.
+        if (failure instanceof ConnectException && String.valueOf(failure.getMessage()).startsWith(REFUSAL_MESSAGE)) {
             return REFUSED;
         }
-        boolean silent = why instanceof ConnectException || why instanceof SocketTimeoutException
-                || why instanceof NoRouteToHostException;
-        return silent ? SILENT : LOCAL;
+        boolean noAnswer = failure instanceof ConnectException || failure instanceof SocketTimeoutException
+                || failure instanceof NoRouteToHostException;
+        return noAnswer ? NO_ANSWER : LOCAL;
     }
 }
--- a/src/test/java/cairnline/pools/ConnectionBudgetTest.java
+++ b/src/test/java/cairnline/pools/ConnectionBudgetTest.java
@@ -9,21 +9,22 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** Tests which connections the budget evicts and which it expires. */
 class ConnectionBudgetTest {
-    private static final long IDLE = 20_000_000;
+    private static final long IDLE_TIMEOUT_MICROS = 20_000_000;
 
-    private final ConnectionBudget<Fake> budget = new ConnectionBudget<>(3, IDLE);
-    private final Fake first = new Fake();
-    private final Fake second = new Fake();
-    private final Fake third = new Fake();
+    private final ConnectionBudget<FakeConnection> budget = new ConnectionBudget<>(3, IDLE_TIMEOUT_MICROS);
+    private final FakeConnection first = new FakeConnection();
+    private final FakeConnection second = new FakeConnection();
+    private final FakeConnection third = new FakeConnection();
 
-    private static final class Fake implements ConnectionBudget.Pooled {
-        boolean over;
+    private static final class FakeConnection implements ConnectionBudget.Pooled {
+        boolean closed;
         boolean busy;
 
         @Override
         public boolean isClosed() {
-            return over;
+            return closed;
         }
 
         @Override
@@ -33,49 +34,49 @@
     }
 
     private void openAll() {
-        budget.used(first, 1);
-        budget.used(second, 2);
+        budget.markUsed(first, 1);
+        budget.markUsed(second, 2);
         assertTrue(budget.hasRoom());
-        budget.used(third, 3);
+        budget.markUsed(third, 3);
         assertFalse(budget.hasRoom());
     }
 
     @Test
-    void theOneUsedLongestAgoGivesWay() {
+    void evictsLeastRecentlyUsedConnection() {
         openAll();
-        budget.used(first, 4);
-        assertSame(second, budget.leastUseful());
+        budget.markUsed(first, 4);
+        assertSame(second, budget.evictIdle());
         assertTrue(budget.hasRoom());
-        assertSame(third, budget.leastUseful());
+        assertSame(third, budget.evictIdle());
     }
 
     @Test
-    void noneWithSomethingOpenGivesWay() {
+    void doesNotEvictBusyConnections() {
         openAll();
         first.busy = true;
-        assertSame(second, budget.leastUseful());
+        assertSame(second, budget.evictIdle());
         third.busy = true;
-        assertNull(budget.leastUseful());
+        assertNull(budget.evictIdle());
         assertEquals(2, budget.size());
     }
 
     @Test
-    void oneThatHasEndedGivesWayWhateverWasOpenThere() {
+    void evictsClosedConnectionEvenIfBusy() {
         openAll();
         first.busy = true;
-        first.over = true;
-        assertSame(first, budget.leastUseful());
+        first.closed = true;
+        assertSame(first, budget.evictIdle());
     }
 
     @Test
-    void whatIsIdleForTooLongIsLetGoAndWhatIsBusyStartsAnew() {
+    void expiresIdleConnectionsAndRestartsTimeoutOfBusyOnes() {
         openAll();
         second.busy = true;
-        assertEquals(List.of(), budget.stale(IDLE));
-        assertEquals(List.of(first), budget.stale(IDLE + 2));
+        assertEquals(List.of(), budget.removeExpired(IDLE_TIMEOUT_MICROS));
+        assertEquals(List.of(first), budget.removeExpired(IDLE_TIMEOUT_MICROS + 2));
         second.busy = false;
-        assertEquals(List.of(third), budget.stale(IDLE + 3));
-        assertEquals(List.of(second), budget.stale(2 * IDLE + 2));
+        assertEquals(List.of(third), budget.removeExpired(IDLE_TIMEOUT_MICROS + 3));
+        assertEquals(List.of(second), budget.removeExpired(2 * IDLE_TIMEOUT_MICROS + 2));
         assertEquals(0, budget.size());
     }
 }
