--- a/src/test/java/cairnline/transport/EventLoopTest.java
+++ b/src/test/java/cairnline/transport/EventLoopTest.java
@@ -12,37 +12,38 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
+/** Tests that the event loop runs every task and timer. */
 class EventLoopTest {
-    private static final long LIMIT_S = 30;
-    private static final int THREADS = 6;
-    private static final int TASKS = 20_000;
+    private static final long TIMEOUT_SECONDS = 30;
+    private static final int THREAD_COUNT = 6;
+    private static final int TASKS_PER_THREAD = 20_000;
 
     @Test
-    void noTaskWaitsInALoopThatSleeps() throws Exception {
+    void runsEveryTaskSubmittedWhileTheLoopBlocks() throws Exception {
         try (EventLoop loop = new EventLoop("test", 1 << 18, new Clock())) {
             loop.start();
-            AtomicInteger done = new AtomicInteger();
+            AtomicInteger completed = new AtomicInteger();
             List<Thread> threads = new ArrayList<>();
-            for (int i = 0; i < THREADS; i++) {
-                threads.add(new Thread(() -> leaveAndAwait(loop, done)));
+            for (int i = 0; i < THREAD_COUNT; i++) {
+                threads.add(new Thread(() -> submitAndAwait(loop, completed)));
             }
             threads.forEach(Thread::start);
             for (Thread thread : threads) {
-                thread.join(TimeUnit.SECONDS.toMillis(LIMIT_S));
+                thread.join(TimeUnit.SECONDS.toMillis(TIMEOUT_SECONDS));
             }
-            assertEquals(THREADS * TASKS, done.get());
+            assertEquals(THREAD_COUNT * TASKS_PER_THREAD, completed.get());
         }
     }
 
-    private static void leaveAndAwait(EventLoop loop, AtomicInteger done) {
+    private static void submitAndAwait(EventLoop loop, AtomicInteger completed) {
         try {
-            for (int i = 0; i < TASKS; i++) {
+            for (int i = 0; i < TASKS_PER_THREAD; i++) {
                 CountDownLatch ran = new CountDownLatch(1);
                 loop.execute(ran::countDown);
-                if (!ran.await(LIMIT_S, TimeUnit.SECONDS)) {
+                if (!ran.await(TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
                     return;
                 }
-                done.incrementAndGet();
+                completed.incrementAndGet();
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -50,7 +51,7 @@
     }
 
     @Test
-    void timersRunInTheirOrderAndACancelledOneDoesNot() throws Exception {
+    void runsTimersInOrderAndSkipsCancelledOne() throws Exception {
         Clock clock = new Clock();
         LinkedBlockingQueue<String> ran = new LinkedBlockingQueue<>();
         try (EventLoop loop = new EventLoop("test", 1 << 18, clock)) {
@@ -62,8 +63,8 @@
                 loop.schedule(now + 1_000, null, () -> ran.add("first"));
                 loop.cancel(cancelled);
             });
-            assertEquals("first", ran.poll(LIMIT_S, TimeUnit.SECONDS));
-            assertEquals("second", ran.poll(LIMIT_S, TimeUnit.SECONDS));
+            assertEquals("first", ran.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS));
+            assertEquals("second", ran.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS));
             assertTrue(ran.isEmpty());
         }
     }
--- a/src/test/java/cairnline/transport/ListenerTest.java
+++ b/src/test/java/cairnline/transport/ListenerTest.java
@@ -15,38 +15,38 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** Who goes where there is no room for one more. */
+/** Tests which connection is evicted or rejected when the connection limit is reached. */
 class ListenerTest {
-    private static final long LONG_AGO = 1;
-    private static final long BUSY = Long.MAX_VALUE;
+    private static final long LONG_AGO_MICROS = 1;
+    private static final long NEVER_IDLE = Long.MAX_VALUE;
 
     private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
 
-    private class Stub implements Listener.Session {
+    private class StubSession implements Listener.Session {
         private final String name;
         private final long idleSince;
-        private final boolean asked;
+        private final boolean sentRequest;
 
-        Stub(String name, long idleSince, boolean asked) {
+        StubSession(String name, long idleSince, boolean sentRequest) {
             this.name = name;
             this.idleSince = idleSince;
-            this.asked = asked;
+            this.sentRequest = sentRequest;
         }
 
         @Override
-        public void start(long since, Runnable ended) {
+        public void start(long arrivedSince, Runnable onClosed) {
             events.add(name + " starts");
         }
 
         @Override
-        public void stopping() { }
+        public void announceShutdown() { }
 
         @Override
         public void drain() { }
 
         @Override
-        public void tooMany() {
-            events.add(name + " is turned away");
+        public void reject() {
+            events.add(name + " is rejected");
         }
 
         @Override
@@ -55,13 +55,13 @@
         }
 
         @Override
-        public boolean hasAsked() {
-            return asked;
+        public boolean hasSentRequest() {
+            return sentRequest;
         }
 
         @Override
-        public boolean retire() {
-            return idleSince < BUSY;
+        public boolean confirmIdle() {
+            return idleSince < NEVER_IDLE;
         }
 
         @Override
@@ -70,58 +70,61 @@
         }
     }
 
-    /** What happens when the last of these comes and there is room for the others alone. */
-    private List<String> last(Stub... stubs) throws Exception {
+    /** Returns the events of the last session, when the limit has room only for the sessions before it. */
+    private List<String> eventsOfLastSession(StubSession... sessions) throws Exception {
         Clock clock = new Clock();
         Limits limits = TestLimits.allOf(1 << 16, 1 << 16);
         EventLoop loop = new EventLoop("test", limits.routing().stackBytes(), clock);
         loop.start();
         Listener listener = new Listener(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-                stubs.length - 1, limits, loop, Events.NONE);
-        List<Stub> next = new ArrayList<>(List.of(stubs));
-        listener.start(channel -> next.remove(0));
-        List<String> seen = new ArrayList<>();
-        for (Stub stub : stubs) {
+                sessions.length - 1, limits, loop, Events.NONE);
+        List<StubSession> remaining = new ArrayList<>(List.of(sessions));
+        listener.start(channel -> remaining.remove(0));
+        List<String> observed = new ArrayList<>();
+        for (StubSession session : sessions) {
             Socket socket = new Socket(InetAddress.getLoopbackAddress(), listener.port());
-            seen.clear();
-            while (seen.stream().noneMatch(event -> event.startsWith(stub.name))) {
-                seen.add(String.valueOf(events.poll(10, TimeUnit.SECONDS)));
+            observed.clear();
+            while (observed.stream().noneMatch(event -> event.startsWith(session.name))) {
+                observed.add(String.valueOf(events.poll(10, TimeUnit.SECONDS)));
             }
             socket.close();
         }
         listener.close();
         loop.close();
-        return seen;
+        return observed;
     }
 
     @Test
-    void theOneThatHasAskedNothingGivesWay() throws Exception {
-        assertEquals(List.of("silent is closed", "new starts"), last(new Stub("idle", LONG_AGO, true),
-                new Stub("silent", LONG_AGO + 1, false), new Stub("busy", BUSY, true), new Stub("new", BUSY, false)));
+    void evictsConnectionWithoutRequestsBeforeIdleOnes() throws Exception {
+        assertEquals(List.of("unused is closed", "new starts"), eventsOfLastSession(
+                new StubSession("idle", LONG_AGO_MICROS, true), new StubSession("unused", LONG_AGO_MICROS + 1, false),
+                new StubSession("busy", NEVER_IDLE, true), new StubSession("new", NEVER_IDLE, false)));
     }
 
     @Test
-    void elseTheOneThatIsIdleLongest() throws Exception {
-        assertEquals(List.of("idle is closed", "new starts"), last(new Stub("later", LONG_AGO + 1, true),
-                new Stub("idle", LONG_AGO, true), new Stub("new", BUSY, false)));
+    void evictsLongestIdleConnection() throws Exception {
+        assertEquals(List.of("idle is closed", "new starts"), eventsOfLastSession(
+                new StubSession("later", LONG_AGO_MICROS + 1, true), new StubSession("idle", LONG_AGO_MICROS, true),
+                new StubSession("new", NEVER_IDLE, false)));
     }
 
     @Test
-    void oneForWhichThereIsNoThreadIsTurnedAway() throws Exception {
-        // It stayed open and unread: its requests were never answered.
-        Stub unlucky = new Stub("unlucky", BUSY, false) {
+    void rejectsConnectionThatFailsToStart() throws Exception {
+        // Guards against a connection left open and unread after this error, so that its requests are never answered.
+        StubSession failing = new StubSession("failing", NEVER_IDLE, false) {
             @Override
-            public void start(long since, Runnable ended) {
+            public void start(long arrivedSince, Runnable onClosed) {
                 throw new OutOfMemoryError("unable to create native thread");
             }
         };
-        assertEquals(List.of("unlucky is turned away"), last(new Stub("busy", BUSY, true), unlucky, unlucky));
+        assertEquals(List.of("failing is rejected"),
+                eventsOfLastSession(new StubSession("busy", NEVER_IDLE, true), failing, failing));
     }
 
     @Test
-    void noneGoesThatWaitsOrHasJustCome() throws Exception {
-        // One that has just come may have a request on its way.
-        assertEquals(List.of("new is turned away"), last(new Stub("busy", BUSY, true),
-                new Stub("fresh", BUSY - 1, false), new Stub("new", BUSY, false)));
+    void keepsConnectionsThatAreBusyOrNew() throws Exception {
+        // A new client may have a request on its way, so its connection must not be evicted.
+        assertEquals(List.of("new is rejected"), eventsOfLastSession(new StubSession("busy", NEVER_IDLE, true),
+                new StubSession("recent", NEVER_IDLE - 1, false), new StubSession("new", NEVER_IDLE, false)));
     }
 }
--- a/src/test/java/cairnline/transport/TcpConnectionTest.java
+++ b/src/test/java/cairnline/transport/TcpConnectionTest.java
@@ -22,155 +22,156 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** A connection on an event loop against a plain socket. */
+/** Tests a connection on an event loop against a blocking socket as its peer. */
 class TcpConnectionTest {
-    private static final long LIMIT_S = 10;
-    private static final int MAILBOX = 64;
-    private static final int LARGE = 8 << 20;
+    private static final long TIMEOUT_SECONDS = 10;
+    private static final int MAILBOX_MESSAGES = 64;
+    private static final int LARGE_MESSAGE_BYTES = 8 << 20;
 
     private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
     private final Recorder handler = new Recorder();
     private ServerSocket server;
     private EventLoop loop;
-    private TcpConnection peer;
-    private Socket other;
+    private TcpConnection connection;
+    private Socket remote;
 
     private final class Recorder implements TcpConnection.Handler {
         @Override
-        public void read(byte[] bytes, int count, long now) {
+        public void onRead(byte[] bytes, int count, long receivedAt) {
             events.add("read " + count);
         }
 
         @Override
-        public long due(long lastRead) {
+        public long timeoutAt(long lastReadAt) {
             return Long.MAX_VALUE;
         }
 
         @Override
-        public boolean quiet(long now) {
+        public boolean onTimeout(long now) {
             return true;
         }
 
         @Override
-        public void unreachable(IOException why) {
-            events.add("unreachable " + UnreachableCause.of(why));
+        public void onUnreachable(IOException cause) {
+            events.add("unreachable " + UnreachableCause.of(cause));
         }
 
         @Override
-        public boolean inputEnded(long since) {
-            events.add("input ended");
+        public boolean onInputClosed(long since) {
+            events.add("input closed");
             return true;
         }
 
         @Override
-        public void ended(boolean wasUp) {
-            events.add("ended " + wasUp);
+        public void onClosed(boolean wasConnected) {
+            events.add("closed " + wasConnected);
         }
     }
 
     @BeforeEach
     void connect() throws Exception {
-        Limits limits = TestLimits.allOf(1 << 26, MAILBOX);
+        Limits limits = TestLimits.allOf(1 << 26, MAILBOX_MESSAGES);
         server = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"));
         loop = new EventLoop("test", 1 << 18, new Clock());
         loop.start();
-        peer = TcpConnection.connecting(loop, limits, handler);
-        peer.connect(new InetSocketAddress("127.0.0.1", server.getLocalPort()));
-        other = server.accept();
-        other.setSoTimeout((int) TimeUnit.SECONDS.toMillis(LIMIT_S));
+        connection = TcpConnection.unconnected(loop, limits, handler);
+        connection.connect(new InetSocketAddress("127.0.0.1", server.getLocalPort()));
+        remote = server.accept();
+        remote.setSoTimeout((int) TimeUnit.SECONDS.toMillis(TIMEOUT_SECONDS));
     }
 
     @AfterEach
     void close() throws IOException {
-        other.close();
+        remote.close();
         server.close();
         loop.close();
     }
 
-    private String event() throws InterruptedException {
-        return String.valueOf(events.poll(LIMIT_S, TimeUnit.SECONDS));
+    private String nextEvent() throws InterruptedException {
+        return String.valueOf(events.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS));
     }
 
     private byte[] read(int count) throws IOException {
-        return other.getInputStream().readNBytes(count);
+        return remote.getInputStream().readNBytes(count);
     }
 
-    /** Waits until the loop has done all that was left before. */
-    private void settle() throws InterruptedException {
-        CountDownLatch done = new CountDownLatch(1);
-        loop.execute(done::countDown);
-        assertTrue(done.await(LIMIT_S, TimeUnit.SECONDS));
+    /** Waits until the loop has run all tasks submitted before. */
+    private void awaitSubmittedTasks() throws InterruptedException {
+        CountDownLatch ran = new CountDownLatch(1);
+        loop.execute(ran::countDown);
+        assertTrue(ran.await(TIMEOUT_SECONDS, TimeUnit.SECONDS));
     }
 
     @Test
-    void lettersAreWrittenInOrderThoughOneLeavesAnother() throws Exception {
-        peer.offer(now -> {
-            peer.send(new byte[] {3});
+    void writesMessagesInOrderWhenOneEnqueuesAnother() throws Exception {
+        connection.enqueue(now -> {
+            connection.send(new byte[] {3});
             return new byte[] {1};
         });
-        peer.send(new byte[] {2});
+        connection.send(new byte[] {2});
         assertArrayEquals(new byte[] {1, 2, 3}, read(3));
     }
 
     @Test
-    void aBadLetterEndsNothing() throws Exception {
+    void staysOpenWhenMessageFailsToEncode() throws Exception {
         CountDownLatch ready = new CountDownLatch(1);
         loop.execute(() -> {
             Thread.currentThread().setUncaughtExceptionHandler((thread, e) -> events.add("reported"));
             ready.countDown();
         });
         ready.await();
-        peer.offer(now -> {
+        connection.enqueue(now -> {
             throw new IllegalStateException();
         });
-        peer.send(new byte[] {1});
+        connection.send(new byte[] {1});
         assertArrayEquals(new byte[] {1}, read(1));
-        assertEquals("reported", event());
+        assertEquals("reported", nextEvent());
     }
 
     @Test
-    void afterTheEndNoLetterIsTakenOrMade() throws Exception {
-        peer.offer(now -> {
-            peer.closeNow("test");
+    void neitherEnqueuesNorEncodesMessagesAfterClose() throws Exception {
+        connection.enqueue(now -> {
+            connection.closeNow("test");
             return null;
         });
-        peer.offer(now -> {
-            events.add("made");
+        connection.enqueue(now -> {
+            events.add("encoded");
             return null;
         });
-        assertEquals("ended true", event());
-        settle();
-        assertFalse(peer.offer(now -> null));
+        assertEquals("closed true", nextEvent());
+        awaitSubmittedTasks();
+        assertFalse(connection.enqueue(now -> null));
         assertTrue(events.isEmpty(), events::toString);
     }
 
     @Test
-    void aPeerThatTakesNothingHoldsAFullMailboxAndIsNotRead() throws Exception {
-        peer.send(new byte[LARGE]);
-        int taken = 0;
-        while (taken < 2 * MAILBOX && peer.ask(now -> new byte[1])) {
-            taken++;
+    void limitsMailboxAndStopsReadingWhenPeerDoesNotRead() throws Exception {
+        connection.send(new byte[LARGE_MESSAGE_BYTES]);
+        int accepted = 0;
+        while (accepted < 2 * MAILBOX_MESSAGES && connection.enqueueIfRoom(now -> new byte[1])) {
+            accepted++;
         }
-        assertEquals(MAILBOX - 1, taken);
-        for (int i = 0; i < MAILBOX; i++) {
-            peer.send(new byte[1]);
+        assertEquals(MAILBOX_MESSAGES - 1, accepted);
+        for (int i = 0; i < MAILBOX_MESSAGES; i++) {
+            connection.send(new byte[1]);
         }
-        settle();
-        other.getOutputStream().write(7);
-        settle();
-        settle();
+        awaitSubmittedTasks();
+        remote.getOutputStream().write(7);
+        awaitSubmittedTasks();
+        awaitSubmittedTasks();
         assertTrue(events.isEmpty(), events::toString);
-        assertEquals(LARGE + taken + MAILBOX, read(LARGE + taken + MAILBOX).length);
-        assertEquals("read 1", event());
+        assertEquals(LARGE_MESSAGE_BYTES + accepted + MAILBOX_MESSAGES,
+                read(LARGE_MESSAGE_BYTES + accepted + MAILBOX_MESSAGES).length);
+        assertEquals("read 1", nextEvent());
     }
 
     @Test
-    void aLetterThatIsGivenUpHalfWrittenNeverArrivesWhole() throws Exception {
+    void closesInsteadOfCompletingCancelledMessage() throws Exception {
         AtomicBoolean wanted = new AtomicBoolean(true);
-        peer.offer(new TcpConnection.OutboundMessage() {
+        connection.enqueue(new TcpConnection.OutboundMessage() {
             @Override
-            public byte[] bytes(long now) {
-                return new byte[LARGE];
+            public byte[] encode(long now) {
+                return new byte[LARGE_MESSAGE_BYTES];
             }
 
             @Override
@@ -180,50 +181,50 @@
         });
         read(1);
         wanted.set(false);
-        int count = other.getInputStream().readAllBytes().length;
-        assertTrue(count < LARGE - 1, () -> count + " bytes arrived");
-        assertEquals("ended true", event());
+        int count = remote.getInputStream().readAllBytes().length;
+        assertTrue(count < LARGE_MESSAGE_BYTES - 1, () -> count + " bytes arrived");
+        assertEquals("closed true", nextEvent());
     }
 
     @Test
-    void whatIsLeftBeforeTheFinishIsWrittenAfterTheOtherSideSendsNoMore() throws Exception {
-        other.shutdownOutput();
-        assertEquals("input ended", event());
-        peer.send(new byte[LARGE]);
-        peer.finish();
-        assertEquals(LARGE, read(LARGE).length);
-        assertEquals(-1, other.getInputStream().read());
-        assertEquals("ended true", event());
+    void writesEnqueuedMessagesAfterPeerClosedItsOutput() throws Exception {
+        remote.shutdownOutput();
+        assertEquals("input closed", nextEvent());
+        connection.send(new byte[LARGE_MESSAGE_BYTES]);
+        connection.finishOutput();
+        assertEquals(LARGE_MESSAGE_BYTES, read(LARGE_MESSAGE_BYTES).length);
+        assertEquals(-1, remote.getInputStream().read());
+        assertEquals("closed true", nextEvent());
     }
 
     @Test
-    void aPeerThatFloodsAfterTheLastWordIsLeft() throws Exception {
-        Limits limits = TestLimits.withLinger(TestLimits.allOf(1 << 26, MAILBOX), 1_000, 1);
-        TcpConnection finishing = TcpConnection.connecting(loop, limits, handler);
-        finishing.connect(new InetSocketAddress("127.0.0.1", server.getLocalPort()));
-        try (Socket flood = server.accept()) {
-            finishing.finish();
-            assertEquals(-1, flood.getInputStream().read());
+    void closesConnectionToPeerThatFloodsAfterOutputIsFinished() throws Exception {
+        Limits limits = TestLimits.withLinger(TestLimits.allOf(1 << 26, MAILBOX_MESSAGES), 1_000, 1);
+        TcpConnection lingering = TcpConnection.unconnected(loop, limits, handler);
+        lingering.connect(new InetSocketAddress("127.0.0.1", server.getLocalPort()));
+        try (Socket floodingRemote = server.accept()) {
+            lingering.finishOutput();
+            assertEquals(-1, floodingRemote.getInputStream().read());
             byte[] block = new byte[1 << 16];
             assertThrows(IOException.class, () -> {
                 while (true) {
-                    flood.getOutputStream().write(block);
+                    floodingRemote.getOutputStream().write(block);
                 }
             });
         }
-        assertEquals("ended true", event());
+        assertEquals("closed true", nextEvent());
     }
 
     @Test
-    void aRefusedConnectionIsToldFromOneThatThisSystemCouldNotMake() throws Exception {
+    void distinguishesRefusedConnectionFromLocalFailure() throws Exception {
         int port = server.getLocalPort();
         server.close();
-        TcpConnection refused = TcpConnection.connecting(loop, TestLimits.allOf(1 << 26, MAILBOX), handler);
+        TcpConnection refused = TcpConnection.unconnected(loop, TestLimits.allOf(1 << 26, MAILBOX_MESSAGES), handler);
         refused.connect(new InetSocketAddress("127.0.0.1", port));
-        assertEquals("unreachable REFUSED", event());
-        assertEquals("ended false", event());
-        TcpConnection unresolved = TcpConnection.connecting(loop, TestLimits.allOf(1 << 26, MAILBOX), handler);
+        assertEquals("unreachable REFUSED", nextEvent());
+        assertEquals("closed false", nextEvent());
+        TcpConnection unresolved = TcpConnection.unconnected(loop, TestLimits.allOf(1 << 26, MAILBOX_MESSAGES), handler);
         unresolved.connect(InetSocketAddress.createUnresolved("unreadable", 0));
-        assertEquals("unreachable LOCAL", event());
+        assertEquals("unreachable LOCAL", nextEvent());
     }
 }
--- a/src/test/java/cairnline/transport/TestLimits.java
+++ b/src/test/java/cairnline/transport/TestLimits.java
@@ -3,26 +3,28 @@
 import cairnline.routing.Limits;
 import java.lang.reflect.RecordComponent;
 
-/** Limits for tests to which most of them do not matter. */
+/** Creates limits for tests that depend on few of them. */
 final class TestLimits {
     private TestLimits() { }
 
-    /** All have one value, but for the mailbox of a connection. */
+    /** Returns limits that all have the same value, except the mailbox size of a connection. */
     static Limits allOf(int value, int mailbox) throws ReflectiveOperationException {
-        Limits all = (Limits) filled(Limits.class, value);
+        Limits original = (Limits) fill(Limits.class, value);
         Limits.Connections connections = new Limits.Connections(mailbox, value, value, value, value);
-        return new Limits(all.routing(), connections, all.clients(), all.engines(), all.feed(), all.shutdown(), all.http());
+        return new Limits(original.routing(), connections, original.clients(), original.engines(), original.feed(),
+                original.shutdown(), original.http());
     }
 
-    /** The same with another time, in microseconds, and other bytes for a connection whose output has been ended. */
-    static Limits withLinger(Limits all, long linger, int ignoredBytes) {
-        Limits.Connections usual = all.connections();
-        Limits.Connections connections = new Limits.Connections(usual.mailbox(), linger, ignoredBytes, usual.writeStall(),
-                usual.connect());
-        return new Limits(all.routing(), connections, all.clients(), all.engines(), all.feed(), all.shutdown(), all.http());
+    /** Returns a copy with another linger time, in microseconds, and another number of input bytes ignored meanwhile. */
+    static Limits withLinger(Limits original, long linger, int ignoredBytes) {
+        Limits.Connections originalConnections = original.connections();
+        Limits.Connections connections = new Limits.Connections(originalConnections.mailbox(), linger, ignoredBytes,
+                originalConnections.writeStall(), originalConnections.connect());
+        return new Limits(original.routing(), connections, original.clients(), original.engines(), original.feed(),
+                original.shutdown(), original.http());
     }
 
-    private static Object filled(Class<?> type, int value) throws ReflectiveOperationException {
+    private static Object fill(Class<?> type, int value) throws ReflectiveOperationException {
         if (type == int.class) {
             return value;
         } else if (type == long.class) {
@@ -31,7 +33,7 @@
         RecordComponent[] components = type.getRecordComponents();
         Object[] values = new Object[components.length];
         for (int i = 0; i < values.length; i++) {
-            values[i] = filled(components[i].getType(), value);
+            values[i] = fill(components[i].getType(), value);
         }
         return type.getDeclaredConstructors()[0].newInstance(values);
     }
