--- a/src/main/java/cairnline/transport/ClientActivity.java
+++ b/src/main/java/cairnline/transport/ClientActivity.java
@@ -11,6 +11,7 @@
     private final SocketFront front;
     private final Limits limits;
     private final long connectedAt;
+    /** Since when the current partial message has been incomplete; 0 without a partial message. */
     private long partialSince;
     private long heldBytes;
     private volatile boolean requestReceived;
--- a/src/main/java/cairnline/transport/EventLoop.java
+++ b/src/main/java/cairnline/transport/EventLoop.java
@@ -27,6 +27,7 @@
     private final Selector selector;
     private final Thread thread;
     private final Queue<Runnable> tasks = new ConcurrentLinkedQueue<>();
+    /** Whether the selector has been woken up since the last poll, so that further tasks need no wake-up. */
     private final AtomicBoolean wakeupPending = new AtomicBoolean();
     private final TreeSet<Timer> timers =
             new TreeSet<>(Comparator.comparingLong(Timer::dueAt).thenComparingLong(Timer::sequence));
@@ -142,7 +143,7 @@
         }
     }
 
-    /** Blocks until a channel is ready, a task is submitted or a timer is due. */
+    /** Blocks until a channel is ready, a task is submitted or a timer is due. Returns at once if tasks are queued. */
     private void awaitReadiness() throws IOException {
         long waitMillis = tasks.isEmpty() ? millisUntilNextTimer() : 0;
         if (waitMillis == Long.MAX_VALUE) {
--- a/src/main/java/cairnline/transport/HttpConnection.java
+++ b/src/main/java/cairnline/transport/HttpConnection.java
@@ -28,7 +28,9 @@
     private final Limits limits;
     private final TcpConnection connection;
     private final HttpDecoder decoder;
+    /** The attempt in flight, or null; guarded by this object's lock, like the next two fields. */
     private Attempt attempt;
+    /** Whether the request has been passed on to be written, so that the engine may execute it. */
     private boolean requestWritten;
     private boolean closed;
     /** The pages of the current answer; confined to the event loop, like {@link #pageCount}. */
--- a/src/main/java/cairnline/transport/ODataCall.java
+++ b/src/main/java/cairnline/transport/ODataCall.java
@@ -54,10 +54,12 @@
         return odataRequest;
     }
 
+    /** Passes the request to the dispatcher. */
     void start() {
         front.dispatcher().take(request);
     }
 
+    /** Lets attempts that run complete, but starts no further ones; the client may still read the answer. */
     void detach() {
         front.dispatcher().detach(request);
     }
@@ -67,6 +69,7 @@
         onAnswer.accept(ODataModel.error(503, reason).with("retry-after", "1"));
     }
 
+    /** Abandons the request, since the client can no longer receive an answer. */
     void abandon() {
         front.dispatcher().abandon(request);
     }
--- a/src/main/java/cairnline/transport/ODataSession.java
+++ b/src/main/java/cairnline/transport/ODataSession.java
@@ -31,6 +31,7 @@
     private final Set<ODataCall> openCalls = ConcurrentHashMap.newKeySet();
     /** Requests received and not answered yet. */
     private final AtomicInteger unansweredCount = new AtomicInteger();
+    /** Whether a request is being served; the others wait in {@link #queuedRequests}. */
     private boolean serving;
     /** Whether input is ignored; the connection is closed after the last answer and {@link #finalAnswer}. */
     private boolean inputIgnored;
--- a/src/main/java/cairnline/transport/RespConnection.java
+++ b/src/main/java/cairnline/transport/RespConnection.java
@@ -38,7 +38,7 @@
     private final Resp decoder;
     /** The attempts in flight, by request id. */
     private final Map<String, Exchange> exchanges = new HashMap<>();
-    /** Ids of attempts that ended before their complete answer arrived, so that it may still come; the oldest are evicted. */
+    /** Ids of attempts that ended before their complete answer, which may therefore still arrive; the oldest are evicted. */
     private final Map<String, Boolean> abandonedIds = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
@@ -70,6 +70,7 @@
     private static final class Exchange {
         final Attempt attempt;
         final PagedResult result;
+        /** Whether the command has been passed on to be written, so that the engine may execute it. */
         boolean written;
 
         Exchange(Attempt attempt, PagedResult result) {
@@ -113,7 +114,10 @@
         startSilencePeriod(now);
     }
 
-    /** Starts the silence period, unless something else is in flight: a new request must not extend the time allowed for it. */
+    /**
+     * Starts the silence period if nothing else is in flight. A new request must not extend the time that the engine has to
+     * answer, or report on, an earlier one.
+     */
     private synchronized void startSilencePeriod(long now) {
         if (exchanges.size() + probes.size() == 1) {
             awaitingSince = now;
@@ -393,7 +397,7 @@
 
     /**
      * Decides and marks the connection closed atomically, so that no attempt starts on a connection about to close. Closes it
-     * if it is idle, if an answer stops midway, or if the engine sends nothing although it should report on its requests.
+     * if it is idle, if an answer stays incomplete, or if the engine sends nothing although it should report on its requests.
      */
     @Override
     public synchronized boolean onTimeout(long now) {
--- a/src/main/java/cairnline/transport/TcpConnection.java
+++ b/src/main/java/cairnline/transport/TcpConnection.java
@@ -33,6 +33,7 @@
     private final Clock clock;
     private final Handler handler;
     private final Queue<OutboundMessage> messages = new ConcurrentLinkedQueue<>();
+    /** Messages that are queued or being written. */
     private final AtomicInteger pendingCount = new AtomicInteger();
     private final AtomicBoolean flushScheduled = new AtomicBoolean();
     private volatile boolean closed;
@@ -74,8 +75,8 @@
         boolean onTimeout(long now);
 
         /**
-         * Whether the peer owes nothing: if the connection turns out to be closed then, a message that was not written yet
-         * has certainly not been executed.
+         * Whether nothing written to the peer awaits an answer. If a connection in that state turns out to be closed, the
+         * messages not written yet have certainly not been executed.
          */
         default boolean isQuiescent() {
             return false;
@@ -193,7 +194,7 @@
         return address;
     }
 
-    /** Returns why the connection was closed, for log lines. */
+    /** Returns why the connection was closed, as text for log lines. */
     String closeCause() {
         return closeCause;
     }
@@ -416,8 +417,8 @@
     }
 
     /**
-     * Checks for the end of a connection on which nothing is in flight: if it is closed now, the messages not yet written
-     * have certainly not been executed.
+     * Checks, before the next message is written, whether the peer has closed a connection on which nothing is in flight. The
+     * messages not written yet have certainly not been executed then.
      */
     private boolean checkStillOpen() {
         readNow();
