--- a/src/main/java/cairnline/program/ODataServer.java
+++ b/src/main/java/cairnline/program/ODataServer.java
@@ -44,7 +44,7 @@
     /** Takes up the feed or the engines that its file names now. */
     void follow(ODataConfiguration odata) {
         if (feed != null && odata.feed() != null) {
-            feed.follow(odata.feed());
+            feed.changeAddress(odata.feed());
         } else if (!odata.engines().isEmpty()) {
             core.listed(true, odata.engines());
         }
@@ -61,7 +61,7 @@
 
     /** Ends as the platform's front does; {@code done} runs when all that was taken is answered. */
     void stop(Runnable done) {
-        front.stopping();
+        front.announceShutdown();
         core.stopping(done);
     }
 
--- /dev/null
+++ b/src/main/java/cairnline/transport/ODataBatchExecution.java
@@ -0,0 +1,124 @@
+package cairnline.transport;
+
+import cairnline.protocol.HttpMessage;
+import cairnline.protocol.ODataBatch;
+import cairnline.protocol.ODataBatch.Item;
+import cairnline.protocol.ODataException;
+import cairnline.protocol.ODataModel;
+import cairnline.protocol.ODataRequest;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.List;
+import java.util.Set;
+import java.util.function.Consumer;
+
+/**
+ * The execution of one batch, on its session's event loop. Requests that neither depend on each other nor access the same
+ * entity run concurrently. A write waits for all earlier requests to the entity that it changes, and later requests to
+ * that entity wait for it.
+ */
+final class ODataBatchExecution {
+    private final ODataBatch batch;
+    private final ODataSession session;
+    private final long receivedAt;
+    private final ODataRequest[] requests;
+    private final HttpMessage[] answers;
+    private final boolean[] started;
+    private Consumer<HttpMessage> completionListener;
+
+    ODataBatchExecution(ODataBatch batch, ODataSession session, long receivedAt) {
+        this.batch = batch;
+        this.session = session;
+        this.receivedAt = receivedAt;
+        int count = batch.items().size();
+        this.requests = new ODataRequest[count];
+        this.answers = new HttpMessage[count];
+        this.started = new boolean[count];
+    }
+
+    /** Starts the batch; {@code listener} receives the answer of the complete batch, on the event loop. */
+    void start(Consumer<HttpMessage> listener) {
+        completionListener = listener;
+        Set<String> unsupportedGroups = batch.manyInGroup();
+        for (int i = 0; i < requests.length; i++) {
+            Item item = batch.items().get(i);
+            try {
+                if (unsupportedGroups.contains(item.group())) {
+                    throw new ODataException(501, "requests of an atomicity group can't be made to happen together");
+                }
+                requests[i] = ODataCall.read(item.request(), session.front());
+            } catch (ODataException e) {
+                answers[i] = ODataModel.error(e.status(), e.getMessage());
+                started[i] = true;
+            }
+        }
+        startReadyRequests();
+    }
+
+    /** Starts all requests that are ready to run; answers the batch when none is left. */
+    private void startReadyRequests() {
+        int end = endOfProcessing();
+        boolean pending = false;
+        for (int i = 0; i < end; i++) {
+            if (!started[i] && mayStart(i)) {
+                startRequest(i);
+            }
+            pending |= answers[i] == null;
+        }
+        if (!pending) {
+            List<HttpMessage> processed = new ArrayList<>(Arrays.asList(answers));
+            for (int i = end; i < processed.size(); i++) {
+                processed.set(i, null);
+            }
+            completionListener.accept(batch.answer(processed));
+        }
+    }
+
+    /** Returns how many requests to process: up to the first error, unless the client requested to continue on errors. */
+    private int endOfProcessing() {
+        for (int i = 0; i < answers.length && !batch.continueOnError(); i++) {
+            if (answers[i] != null && answers[i].status() >= 400) {
+                return i + 1;
+            }
+        }
+        return answers.length;
+    }
+
+    private boolean mayStart(int index) {
+        Item item = batch.items().get(index);
+        for (int i = 0; i < index; i++) {
+            if (answers[i] != null) {
+                continue;
+            }
+            // Without continue-on-error, a request must not run before it is known that no earlier one fails.
+            if (batch.sequential() || !batch.continueOnError() || dependsOn(item, batch.items().get(i))
+                    || requests[index].conflicts(requests[i])) {
+                return false;
+            }
+        }
+        return true;
+    }
+
+    private static boolean dependsOn(Item item, Item earlier) {
+        return item.dependsOn().contains(earlier.id())
+                || earlier.group() != null && item.dependsOn().contains(earlier.group());
+    }
+
+    private void startRequest(int index) {
+        started[index] = true;
+        Item item = batch.items().get(index);
+        for (int i = 0; i < index; i++) {
+            if (dependsOn(item, batch.items().get(i)) && answers[i].status() >= 400) {
+                answers[index] = ODataModel.error(424, "request " + batch.items().get(i).id() + " has failed");
+                return;
+            }
+        }
+        ODataCall[] call = new ODataCall[1];
+        call[0] = new ODataCall(session.front(), requests[index], receivedAt, answer -> session.runInOrder(() -> {
+            session.removeCall(call[0]);
+            answers[index] = answer;
+            startReadyRequests();
+        }));
+        session.startCall(call[0]);
+    }
+}
--- /dev/null
+++ b/src/main/java/cairnline/transport/TcpConnection.java
@@ -0,0 +1,508 @@
+package cairnline.transport;
+
+import cairnline.routing.Clock;
+import cairnline.routing.Limits;
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.net.SocketTimeoutException;
+import java.net.StandardSocketOptions;
+import java.net.UnknownHostException;
+import java.nio.ByteBuffer;
+import java.nio.channels.SelectionKey;
+import java.nio.channels.SocketChannel;
+import java.util.Queue;
+import java.util.concurrent.ConcurrentLinkedQueue;
+import java.util.concurrent.atomic.AtomicBoolean;
+import java.util.concurrent.atomic.AtomicInteger;
+
+/**
+ * One TCP connection on an {@link EventLoop}. It passes received bytes to its handler and writes outbound messages in the
+ * order in which they were enqueued. Any thread may enqueue a message and never blocks. Reading pauses while the peer does
+ * not read and many messages wait for it, so that the memory held for one peer stays bounded.
+ */
+final class TcpConnection implements EventLoop.Handler {
+    /** Reading pauses while more messages than this wait for a peer that does not read. */
+    private static final int READ_PAUSE_THRESHOLD_MESSAGES = 64;
+    /** Keeps one busy connection from starving the others on the loop. */
+    private static final int MAX_READS_PER_ROUND = 8;
+    /** Result of a channel's read at the end of the input; other negative results mean an interrupted call. */
+    private static final int END_OF_INPUT = -1;
+
+    private final EventLoop loop;
+    private final Limits limits;
+    private final Clock clock;
+    private final Handler handler;
+    private final Queue<OutboundMessage> messages = new ConcurrentLinkedQueue<>();
+    /** Messages that are queued or being written. */
+    private final AtomicInteger pendingCount = new AtomicInteger();
+    private final AtomicBoolean flushScheduled = new AtomicBoolean();
+    private volatile boolean closed;
+    private volatile boolean finishingOutput;
+    private volatile String closeCause = "closed locally";
+    private volatile String address = "";
+
+    /* The fields below are confined to the loop's thread. */
+    private SocketChannel channel;
+    private SelectionKey key;
+    private EventLoop.Timer timer;
+    private boolean connected;
+    /** The bytes being written, and their message; null between messages. */
+    private ByteBuffer currentBytes;
+    private OutboundMessage currentMessage;
+    /** Since when {@link #currentBytes} could not be written completely; 0 while nothing is blocked. */
+    private long writeBlockedSince;
+    private long lastReadAt;
+    /** Since when received bytes may have waited in the socket; 0 if the socket was read empty. */
+    private long unreadSince;
+    private boolean inputClosed;
+    private boolean inputIgnored;
+    private long ignoredBytes;
+    /** When to close a connection whose output is shut down; {@code Long.MAX_VALUE} while the output is open. */
+    private long lingerUntil = Long.MAX_VALUE;
+
+    /** Receives the events of a connection, all on the loop's thread. */
+    interface Handler {
+        /**
+         * Handles received bytes. {@code bytes} is reused after the call; {@code receivedAt} is the earliest time at which
+         * they can have arrived, in microseconds.
+         */
+        void onRead(byte[] bytes, int count, long receivedAt);
+
+        /** Returns when to call {@link #onTimeout} next, given the time of the last read; microseconds. */
+        long timeoutAt(long lastReadAt);
+
+        /** Handles the timeout of {@link #timeoutAt}; returns false to close the connection. */
+        boolean onTimeout(long now);
+
+        /**
+         * Whether nothing written to the peer awaits an answer. If a connection in that state turns out to be closed, the
+         * messages not written yet have certainly not been executed.
+         */
+        default boolean isQuiescent() {
+            return false;
+        }
+
+        /** Handles a failure to connect; {@link #onClosed} follows. */
+        default void onUnreachable(IOException cause) { }
+
+        /**
+         * Handles the end of the input, which came at {@code since} at the earliest; the peer may still read. Returns false
+         * to close the connection.
+         */
+        default boolean onInputClosed(long since) {
+            return false;
+        }
+
+        /** Handles the end of the connection, or of the attempt to connect; called once. */
+        void onClosed(boolean wasConnected);
+    }
+
+    /** A message in the write queue. */
+    interface OutboundMessage {
+        /** Encodes the message when its turn to be written has come; null if there is nothing to write any more. */
+        byte[] encode(long now);
+
+        /** Whether to go on with a message that is written in part; the connection is closed otherwise. */
+        default boolean isWanted() {
+            return true;
+        }
+    }
+
+    private TcpConnection(EventLoop loop, Limits limits, Handler handler) {
+        this.loop = loop;
+        this.limits = limits;
+        this.clock = loop.clock();
+        this.handler = handler;
+    }
+
+    /** Wraps an accepted channel; nothing is read or written before {@link #start}. */
+    static TcpConnection forAcceptedChannel(EventLoop loop, SocketChannel channel, Limits limits, Handler handler) {
+        TcpConnection connection = new TcpConnection(loop, limits, handler);
+        connection.channel = channel;
+        return connection;
+    }
+
+    /**
+     * Creates a connection for {@link #connect}; messages wait until it is connected. Its handler may be notified of its end
+     * at any time.
+     */
+    static TcpConnection unconnected(EventLoop loop, Limits limits, Handler handler) {
+        return new TcpConnection(loop, limits, handler);
+    }
+
+    /** Starts an accepted connection, whose first bytes may have arrived since {@code arrivedSince}; on the loop's thread. */
+    void start(long arrivedSince) throws IOException {
+        unreadSince = arrivedSince;
+        channel.configureBlocking(false);
+        channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
+        address = String.valueOf(channel.getRemoteAddress());
+        key = loop.register(channel, SelectionKey.OP_READ, this);
+        onConnected();
+    }
+
+    /** Connects without blocking; safe for any thread. */
+    void connect(InetSocketAddress remote) {
+        address = String.valueOf(remote);
+        loop.execute(() -> {
+            if (closed) {
+                return;
+            }
+            try {
+                connectNow(remote);
+            } catch (IOException e) {
+                failConnect(e);
+            }
+        });
+    }
+
+    private void connectNow(InetSocketAddress remote) throws IOException {
+        if (remote.isUnresolved()) {
+            throw new UnknownHostException(remote.getHostString());
+        }
+        channel = SocketChannel.open();
+        channel.configureBlocking(false);
+        channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
+        boolean connectedAtOnce = channel.connect(remote);
+        key = loop.register(channel, connectedAtOnce ? SelectionKey.OP_READ : SelectionKey.OP_CONNECT, this);
+        if (connectedAtOnce) {
+            onConnected();
+        } else {
+            timer = loop.schedule(clock.micros() + limits.connections().connect(), this,
+                    () -> failConnect(new SocketTimeoutException("connect timed out")));
+        }
+    }
+
+    private void failConnect(IOException failure) {
+        if (!closed) {
+            closeCause = "connect failed: " + failure.getMessage();
+            handler.onUnreachable(failure);
+        }
+        tearDown();
+    }
+
+    private void onConnected() {
+        connected = true;
+        lastReadAt = clock.micros();
+        loop.cancel(timer);
+        timer = null;
+        rearmTimer();
+        flush();
+    }
+
+    /** Returns the peer's address as text; empty before it is known. */
+    String address() {
+        return address;
+    }
+
+    /** Returns why the connection was closed, as text for log lines. */
+    String closeCause() {
+        return closeCause;
+    }
+
+    /** Enqueues a message; false if the connection is closed or its mailbox is full. */
+    boolean enqueueIfRoom(OutboundMessage message) {
+        if (pendingCount.get() >= limits.connections().mailbox()) {
+            return false;
+        }
+        return enqueue(message);
+    }
+
+    /** Enqueues a message regardless of the mailbox limit; false if the connection is closed. */
+    boolean enqueue(OutboundMessage message) {
+        if (closed) {
+            return false;
+        }
+        pendingCount.incrementAndGet();
+        messages.add(message);
+        scheduleFlush();
+        return true;
+    }
+
+    /** Enqueues bytes regardless of the mailbox limit. */
+    void send(byte[] bytes) {
+        enqueue(now -> bytes);
+    }
+
+    /** Whether all enqueued messages have been passed to the operating system. */
+    boolean isFlushed() {
+        return pendingCount.get() == 0;
+    }
+
+    /**
+     * Shuts the output down once all enqueued messages are written, and closes the connection once the peer has shut its
+     * output down too, or after the linger time.
+     */
+    void finishOutput() {
+        finishingOutput = true;
+        scheduleFlush();
+    }
+
+    /** Drops all input from now on; on the loop's thread. */
+    void ignoreInput() {
+        inputIgnored = true;
+    }
+
+    /** Closes the connection; its handler is notified on the loop's thread. Safe for any thread. */
+    void close() {
+        loop.execute(this::tearDown);
+    }
+
+    /** Closes the connection at once, with a cause for log lines; on the loop's thread. */
+    void closeNow(String reason) {
+        closeCause = reason;
+        tearDown();
+    }
+
+    /** Closes a channel that was not started, after writing as much of the bytes as the socket buffer takes. */
+    static void reject(SocketChannel channel, byte[] bytes) {
+        try {
+            channel.configureBlocking(false);
+            channel.write(ByteBuffer.wrap(bytes));
+        } catch (IOException e) {
+            // The client has already disconnected.
+        }
+        Threads.close(channel);
+    }
+
+    private void scheduleFlush() {
+        if (flushScheduled.compareAndSet(false, true)) {
+            loop.execute(() -> {
+                flushScheduled.set(false);
+                flush();
+            });
+        }
+    }
+
+    @Override
+    public void onReady(SelectionKey readyKey) {
+        if (readyKey.isConnectable()) {
+            finishConnect();
+            return;
+        }
+        if (readyKey.isWritable()) {
+            flush();
+        }
+        if (!closed && readyKey.isReadable()) {
+            for (int i = 0; i < MAX_READS_PER_ROUND && readNow(); i++) {
+                // A short read does not show that the socket is empty.
+            }
+            rearmTimer();
+        }
+    }
+
+    @Override
+    public void onFailure(Throwable failure) {
+        closeCause = "internal error: " + failure;
+        tearDown();
+    }
+
+    private void finishConnect() {
+        try {
+            channel.finishConnect();
+        } catch (IOException e) {
+            failConnect(e);
+            return;
+        }
+        onConnected();
+    }
+
+    /**
+     * Reads once. Returns false if there was nothing to read, which alone shows that the socket is empty, or if no further
+     * read is possible. On the loop's thread.
+     */
+    boolean readNow() {
+        if (closed || !connected || inputClosed) {
+            return false;
+        }
+        long receivedAt = unreadSince > 0 ? unreadSince : loop.earliestArrival();
+        ByteBuffer buffer = loop.readBuffer();
+        int count;
+        try {
+            count = channel.read(buffer);
+        } catch (IOException e) {
+            closeCause = "read failed: " + e.getMessage();
+            tearDown();
+            return false;
+        }
+        unreadSince = count == 0 ? 0 : receivedAt;
+        if (count == END_OF_INPUT) {
+            handleEndOfInput(receivedAt);
+        } else if (count > 0) {
+            deliver(buffer.array(), count, receivedAt);
+        }
+        return count != 0 && !closed && !inputClosed;
+    }
+
+    private void deliver(byte[] bytes, int count, long receivedAt) {
+        if (inputIgnored || lingerUntil < Long.MAX_VALUE) {
+            ignoredBytes += count;
+            updateInterestOps();
+            return;
+        }
+        lastReadAt = clock.micros();
+        handler.onRead(bytes, count, receivedAt);
+    }
+
+    private void handleEndOfInput(long since) {
+        inputClosed = true;
+        if (lingerUntil < Long.MAX_VALUE) {
+            closeCause = "closed by both sides";
+            tearDown();
+        } else if (finishingOutput || handler.onInputClosed(since)) {
+            updateInterestOps();
+        } else {
+            closeCause = "closed by the peer";
+            tearDown();
+        }
+    }
+
+    /** Writes as much as the socket buffer takes; on the loop's thread. */
+    private void flush() {
+        if (closed || !connected) {
+            return;
+        }
+        try {
+            while (prepareNextMessage()) {
+                if (writeBlockedSince > 0 && !currentMessage.isWanted()) {
+                    closeNow("message abandoned while partially written");
+                    return;
+                }
+                channel.write(currentBytes);
+                if (currentBytes.hasRemaining()) {
+                    writeBlockedSince = writeBlockedSince == 0 ? clock.micros() : writeBlockedSince;
+                    break;
+                }
+                currentBytes = null;
+                writeBlockedSince = 0;
+                pendingCount.decrementAndGet();
+            }
+            if (finishingOutput && currentBytes == null && !closed && lingerUntil == Long.MAX_VALUE) {
+                shutdownOutput();
+            }
+        } catch (IOException e) {
+            closeCause = "write failed: " + e.getMessage();
+            tearDown();
+        }
+        if (!closed) {
+            updateInterestOps();
+            rearmTimer();
+        }
+    }
+
+    /** Encodes the next message if none is being written; returns whether there are bytes to write. */
+    private boolean prepareNextMessage() {
+        while (!closed && currentBytes == null) {
+            if (messages.isEmpty() || handler.isQuiescent() && !checkStillOpen()) {
+                return false;
+            }
+            currentMessage = messages.poll();
+            byte[] bytes = encode(currentMessage);
+            if (bytes == null) {
+                pendingCount.decrementAndGet();
+            } else {
+                currentBytes = ByteBuffer.wrap(bytes);
+            }
+        }
+        return !closed;
+    }
+
+    /** A message that fails to encode must not close the connection, and with it everything in flight there. */
+    private byte[] encode(OutboundMessage message) {
+        try {
+            return message.encode(clock.micros());
+        } catch (RuntimeException | OutOfMemoryError e) {
+            EventLoop.reportUncaught(e);
+            return null;
+        }
+    }
+
+    /**
+     * Checks, before the next message is written, whether the peer has closed a connection on which nothing is in flight. The
+     * messages not written yet have certainly not been executed then.
+     */
+    private boolean checkStillOpen() {
+        readNow();
+        return !closed;
+    }
+
+    private void shutdownOutput() throws IOException {
+        channel.shutdownOutput();
+        lingerUntil = clock.micros() + limits.connections().linger();
+        if (inputClosed) {
+            closeCause = "closed by both sides";
+            tearDown();
+        }
+    }
+
+    private void updateInterestOps() {
+        if (closed || !connected) {
+            return;
+        }
+        boolean paused = pendingCount.get() > READ_PAUSE_THRESHOLD_MESSAGES && currentBytes != null;
+        boolean reading = !inputClosed && !paused && ignoredBytes <= limits.connections().ignoredBytes();
+        if (!reading && unreadSince == 0) {
+            unreadSince = clock.micros();
+        }
+        int operations = (reading ? SelectionKey.OP_READ : 0) | (currentBytes != null ? SelectionKey.OP_WRITE : 0);
+        if (key.interestOps() != operations) {
+            key.interestOps(operations);
+        }
+    }
+
+    /** Moves the timer to the next timeout if that is earlier than its present time. */
+    private void rearmTimer() {
+        if (closed || !connected) {
+            return;
+        }
+        long timeoutAt = nextTimeoutAt();
+        if (timer != null && timer.dueAt() <= timeoutAt) {
+            return;
+        }
+        loop.cancel(timer);
+        timer = timeoutAt == Long.MAX_VALUE ? null : loop.schedule(timeoutAt, this, this::onTimer);
+    }
+
+    private long nextTimeoutAt() {
+        long writeStallAt = writeBlockedSince == 0 ? Long.MAX_VALUE : writeBlockedSince + limits.connections().writeStall();
+        long waitUntil = finishingOutput ? lingerUntil : handler.timeoutAt(lastReadAt);
+        return Math.min(writeStallAt, waitUntil);
+    }
+
+    private void onTimer() {
+        timer = null;
+        // Bytes that still wait in the socket count as received in time, unless the input is ignored.
+        boolean received = !inputIgnored && !finishingOutput && readNow();
+        if (!received && !closed && clock.micros() >= nextTimeoutAt()) {
+            handleTimeout(clock.micros());
+        }
+        rearmTimer();
+    }
+
+    private void handleTimeout(long now) {
+        if (writeBlockedSince > 0 && now - writeBlockedSince >= limits.connections().writeStall()) {
+            closeNow("write timed out: peer does not read");
+        } else if (now >= lingerUntil) {
+            closeNow("peer did not close its side in time");
+        } else if (!handler.onTimeout(now)) {
+            closeNow("idle or unresponsive");
+        } else {
+            lastReadAt = now;
+        }
+    }
+
+    private void tearDown() {
+        if (closed) {
+            return;
+        }
+        closed = true;
+        loop.cancel(timer);
+        if (key != null) {
+            key.cancel();
+        }
+        if (channel != null) {
+            Threads.close(channel);
+        }
+        messages.clear();
+        handler.onClosed(connected);
+    }
+}
--- a/src/test/java/cairnline/program/ConfigurationTest.java
+++ b/src/test/java/cairnline/program/ConfigurationTest.java
@@ -36,8 +36,8 @@
         assertTrue(configuration.settings().types().get(0).waitsForHolder());
         assertEquals(16, configuration.settings().kinds().get("std16").cores());
         assertEquals(250_000, configuration.limits().connections().connect());
-        assertTrue(configuration.classes().get("load").ordered());
-        assertFalse(configuration.classes().get("lookup").keyed());
+        assertTrue(configuration.classes().get("load").needsOrderingKey());
+        assertFalse(configuration.classes().get("lookup").needsIdempotencyKey());
     }
 
     /** How many managers there are decides probes, samples and shares: one that is not told counts as alone. */
--- a/src/test/java/cairnline/program/ODataWire.java
+++ b/src/test/java/cairnline/program/ODataWire.java
@@ -61,12 +61,12 @@
 
     @Override
     public void stopping() {
-        front.stopping();
+        front.announceShutdown();
     }
 
     @Override
     public int connections() {
-        return front.connections();
+        return front.connectionCount();
     }
 
     @Override
