--- a/src/main/java/cairnline/program/ODataServer.java
+++ b/src/main/java/cairnline/program/ODataServer.java
@@ -2,7 +2,7 @@
 
 import cairnline.logs.Events;
 import cairnline.pools.ConnectionBudget;
-import cairnline.routing.Core;
+import cairnline.routing.Dispatcher;
 import cairnline.routing.EngineList;
 import cairnline.routing.WallClock;
 import cairnline.transport.EventLoop;
@@ -15,7 +15,7 @@
 
 /** The OData front with a core and engines of its own: engines that speak OData can't run what the platform sends. */
 final class ODataServer {
-    private final Core core;
+    private final Dispatcher core;
     private final EngineList list;
     private final ODataFront front;
     private final Listener listener;
@@ -29,7 +29,7 @@
         ConnectionBudget<PooledLink.Connection> connections =
                 new ConnectionBudget<>(limits.engines().connections(), limits.engines().idle());
         // OData has no words for a load or for notes: their absence must not count as silence.
-        core = new Core(configuration.settings().withoutReports(), configuration.seed(), limits, clock,
+        core = new Dispatcher(configuration.settings().withoutReports(), configuration.seed(), limits, clock,
                 line -> log.warn("module", line),
                 (engine, owner) -> new HttpLink(Server.reach(engine.address(), log), owner, limits, loop, connections));
         list = new EngineList(core, limits, clock);
--- a/src/main/java/cairnline/program/Server.java
+++ b/src/main/java/cairnline/program/Server.java
@@ -6,7 +6,7 @@
 import cairnline.pools.ConnectionBudget;
 import cairnline.protocol.FeedEvent;
 import cairnline.routing.Clock;
-import cairnline.routing.Core;
+import cairnline.routing.Dispatcher;
 import cairnline.routing.EngineList;
 import cairnline.routing.Limits;
 import cairnline.routing.Request;
@@ -38,7 +38,7 @@
     private final EventLog log;
     private final EventLoop loop;
     private final SnapshotKeeper keeper;
-    private final Core core;
+    private final Dispatcher core;
     private final EngineList list;
     private final FeedClient feed;
     private final ClientFront clients;
@@ -56,7 +56,7 @@
         ConnectionBudget<PooledLink.Connection> connections =
                 new ConnectionBudget<>(limits.engines().connections(), limits.engines().idle());
         keeper = folder == null ? null : new SnapshotKeeper(folder, settings.store(), log, clock::micros);
-        core = new Core(configuration.settings(), configuration.seed(), limits, clock,
+        core = new Dispatcher(configuration.settings(), configuration.seed(), limits, clock,
                 line -> log.warn("module", line),
                 (engine, owner) -> new RespLink(engine.id(), reach(engine.address(), log), owner, limits, loop, connections,
                         log),
--- a/src/main/java/cairnline/routing/Core.java
+++ b/src/main/java/cairnline/routing/Dispatcher.java
@@ -28,7 +28,7 @@
  * The module's actor: owns the open requests, their attempts and all timers, tells the module what happens and
  * carries out what it asks. It knows no wire. What other threads call only leaves a letter.
  */
-public final class Core implements Actor.Turns, Actions {
+public final class Dispatcher implements Actor.Turns, Actions {
     private static final String STOPS = "this workload manager stops";
     private static final String NO_ENGINE = "no engine that is remembered can be reached";
 
@@ -62,15 +62,15 @@
     private volatile boolean ready;
 
     /** A core that keeps no list for its next start. */
-    public Core(Settings settings, long seed, Limits limits, Clock clock, Consumer<String> log,
-                BiFunction<ListedEngine, Core, EngineLink> links) {
+    public Dispatcher(Settings settings, long seed, Limits limits, Clock clock, Consumer<String> log,
+                BiFunction<ListedEngine, Dispatcher, EngineLink> links) {
         this(settings, seed, limits, clock, log, links,
                 TrustSettings.usual(Clock.fromModule(settings.rules().warmWithin())), Keeper.NONE, RequestTrace.OFF);
     }
 
     /** A core that does not run yet; {@code links} opens the way to an engine, {@code keeper} is shown the list. */
-    public Core(Settings settings, long seed, Limits limits, Clock clock, Consumer<String> log,
-                BiFunction<ListedEngine, Core, EngineLink> links, TrustSettings trust, Keeper keeper,
+    public Dispatcher(Settings settings, long seed, Limits limits, Clock clock, Consumer<String> log,
+                BiFunction<ListedEngine, Dispatcher, EngineLink> links, TrustSettings trust, Keeper keeper,
                 RequestTrace trace) {
         this.trace = trace;
         this.membership = new Membership(trust);
--- a/src/main/java/cairnline/routing/EngineList.java
+++ b/src/main/java/cairnline/routing/EngineList.java
@@ -5,12 +5,12 @@
 
 /** The list's actor: takes numbered changes in order, once each, and hands them to the core. */
 public final class EngineList implements Actor.Turns {
-    private final Core core;
+    private final Dispatcher core;
     private final Actor actor;
     private volatile long last;
 
     /** A list without engines. */
-    public EngineList(Core core, Limits limits, Clock clock) {
+    public EngineList(Dispatcher core, Limits limits, Clock clock) {
         this.core = core;
         int mailbox = limits.connections().mailbox();
         this.actor = new Actor("list", mailbox, mailbox, limits.routing().stackBytes(), clock, this);
--- a/src/main/java/cairnline/transport/HttpConnection.java
+++ b/src/main/java/cairnline/transport/HttpConnection.java
@@ -6,7 +6,7 @@
 import cairnline.protocol.ODataPages;
 import cairnline.protocol.ProtocolException;
 import cairnline.routing.Attempt;
-import cairnline.routing.Core;
+import cairnline.routing.Dispatcher;
 import cairnline.routing.Limits;
 import java.net.InetSocketAddress;
 import java.util.Map;
@@ -23,7 +23,7 @@
 
     private final HttpLink link;
     private final InetSocketAddress address;
-    private final Core core;
+    private final Dispatcher core;
     private final Limits limits;
     private final Peer peer;
     private final HttpDecoder answers;
@@ -34,7 +34,7 @@
     private ODataPages pages = new ODataPages();
     private int pageCount;
 
-    HttpConnection(HttpLink link, InetSocketAddress address, Core core, Limits limits, EventLoop loop) {
+    HttpConnection(HttpLink link, InetSocketAddress address, Dispatcher core, Limits limits, EventLoop loop) {
         this.link = link;
         this.address = address;
         this.core = core;
--- a/src/main/java/cairnline/transport/HttpLink.java
+++ b/src/main/java/cairnline/transport/HttpLink.java
@@ -2,7 +2,7 @@
 
 import cairnline.pools.ConnectionBudget;
 import cairnline.routing.Attempt;
-import cairnline.routing.Core;
+import cairnline.routing.Dispatcher;
 import cairnline.routing.Limits;
 import java.net.InetSocketAddress;
 import java.util.Map;
@@ -11,12 +11,12 @@
 /** The way to one engine that speaks OData; each connection carries one request at a time. */
 public final class HttpLink extends PooledLink<HttpConnection> {
     private final InetSocketAddress address;
-    private final Core core;
+    private final Dispatcher core;
     private final Limits limits;
     private final EventLoop loop;
 
     /** A link without a connection. */
-    public HttpLink(InetSocketAddress address, Core core, Limits limits, EventLoop loop,
+    public HttpLink(InetSocketAddress address, Dispatcher core, Limits limits, EventLoop loop,
                     ConnectionBudget<Connection> budget) {
         super(limits.http().connections(), budget, loop.clock());
         this.address = address;
--- a/src/main/java/cairnline/transport/ODataFront.java
+++ b/src/main/java/cairnline/transport/ODataFront.java
@@ -2,7 +2,7 @@
 
 import cairnline.logs.Events;
 import cairnline.protocol.ODataModel;
-import cairnline.routing.Core;
+import cairnline.routing.Dispatcher;
 import cairnline.routing.Limits;
 import java.nio.channels.SocketChannel;
 import java.util.Map;
@@ -13,7 +13,7 @@
     private final Map<String, Long> patience;
 
     /** A front at this listener; {@code patience} is how long clients of a class wait that do not say, in microseconds. */
-    public ODataFront(Listener listener, Core core, ODataModel model, Map<String, Long> patience, Limits limits,
+    public ODataFront(Listener listener, Dispatcher core, ODataModel model, Map<String, Long> patience, Limits limits,
                       Events log) {
         super(listener, core, limits, log);
         this.model = model;
--- a/src/main/java/cairnline/transport/RespConnection.java
+++ b/src/main/java/cairnline/transport/RespConnection.java
@@ -9,7 +9,7 @@
 import cairnline.protocol.Resp;
 import cairnline.routing.Attempt;
 import cairnline.routing.Clock;
-import cairnline.routing.Core;
+import cairnline.routing.Dispatcher;
 import cairnline.routing.Limits;
 import cairnline.routing.Request;
 import java.io.IOException;
@@ -32,7 +32,7 @@
     private static final String PROBE_TAG = "probe-";
 
     private final RespLink link;
-    private final Core core;
+    private final Dispatcher core;
     private final Limits limits;
     private final Peer peer;
     private final Resp answers;
@@ -56,7 +56,7 @@
     private long askedAt;
     private long heardAt;
 
-    RespConnection(RespLink link, Core core, Limits limits, EventLoop loop) {
+    RespConnection(RespLink link, Dispatcher core, Limits limits, EventLoop loop) {
         this.link = link;
         this.core = core;
         this.limits = limits;
--- a/src/main/java/cairnline/transport/RespLink.java
+++ b/src/main/java/cairnline/transport/RespLink.java
@@ -3,7 +3,7 @@
 import cairnline.logs.Events;
 import cairnline.pools.ConnectionBudget;
 import cairnline.routing.Attempt;
-import cairnline.routing.Core;
+import cairnline.routing.Dispatcher;
 import cairnline.routing.Limits;
 import java.net.InetSocketAddress;
 import java.util.Map;
@@ -13,13 +13,13 @@
 public final class RespLink extends PooledLink<RespConnection> {
     private final String engine;
     private final InetSocketAddress address;
-    private final Core core;
+    private final Dispatcher core;
     private final Limits limits;
     private final EventLoop loop;
     private final Events log;
 
     /** A link without a connection to the engine with this id. */
-    public RespLink(String engine, InetSocketAddress address, Core core, Limits limits, EventLoop loop,
+    public RespLink(String engine, InetSocketAddress address, Dispatcher core, Limits limits, EventLoop loop,
                     ConnectionBudget<Connection> budget, Events log) {
         super(limits.engines().connectionsEach(), budget, loop.clock());
         this.engine = engine;
--- a/src/main/java/cairnline/transport/SocketFront.java
+++ b/src/main/java/cairnline/transport/SocketFront.java
@@ -2,7 +2,7 @@
 
 import cairnline.logs.Events;
 import cairnline.routing.Clock;
-import cairnline.routing.Core;
+import cairnline.routing.Dispatcher;
 import cairnline.routing.Limits;
 import java.nio.channels.SocketChannel;
 import java.util.concurrent.CountDownLatch;
@@ -12,13 +12,13 @@
 /** What the fronts share: a listener whose sessions hand their requests to the core. */
 public abstract class SocketFront {
     private final Listener listener;
-    private final Core core;
+    private final Dispatcher core;
     private final Limits limits;
     private final Events log;
     private final AtomicLong openBytes = new AtomicLong();
     private volatile boolean stopping;
 
-    SocketFront(Listener listener, Core core, Limits limits, Events log) {
+    SocketFront(Listener listener, Dispatcher core, Limits limits, Events log) {
         this.listener = listener;
         this.core = core;
         this.limits = limits;
@@ -69,7 +69,7 @@
         return stopping;
     }
 
-    Core core() {
+    Dispatcher core() {
         return core;
     }
 
--- a/src/test/java/cairnline/program/FirstAskTest.java
+++ b/src/test/java/cairnline/program/FirstAskTest.java
@@ -5,7 +5,7 @@
 
 import cairnline.logs.EventLog;
 import cairnline.routing.Clock;
-import cairnline.routing.Core;
+import cairnline.routing.Dispatcher;
 import cairnline.routing.EngineList;
 import cairnline.routing.Limits;
 import cairnline.routing.WallClock;
@@ -51,8 +51,8 @@
     }
 
     /** A core that has a list and follows this feed. */
-    private Core follow(InetSocketAddress feed, Limits limits) {
-        Core core = new Core(configuration.settings(), configuration.seed(), limits, clock, line -> { },
+    private Dispatcher follow(InetSocketAddress feed, Limits limits) {
+        Dispatcher core = new Dispatcher(configuration.settings(), configuration.seed(), limits, clock, line -> { },
                 (engine, owner) -> null);
         core.awaitFeed();
         EngineList list = new EngineList(core, limits, clock);
@@ -63,7 +63,7 @@
         return core;
     }
 
-    private static void untilReady(Core core) {
+    private static void untilReady(Dispatcher core) {
         long limit = System.nanoTime() + TimeUnit.SECONDS.toNanos(LIMIT_S);
         while (!core.ready()) {
             assertTrue(System.nanoTime() < limit, "never ready");
@@ -74,7 +74,7 @@
     @Test
     void itIsReadyOnceTheFeedHasTold() throws Exception {
         try (ServerSocket feed = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
-            Core core = follow(new InetSocketAddress("127.0.0.1", feed.getLocalPort()),
+            Dispatcher core = follow(new InetSocketAddress("127.0.0.1", feed.getLocalPort()),
                     limits(TimeUnit.HOURS.toMicros(1)));
             try (Socket follower = feed.accept()) {
                 assertFalse(core.ready(), "ready before the feed was asked");
--- a/src/test/java/cairnline/program/ODataWire.java
+++ b/src/test/java/cairnline/program/ODataWire.java
@@ -6,7 +6,7 @@
 import cairnline.pools.ConnectionBudget;
 import cairnline.logs.Events;
 import cairnline.routing.Clock;
-import cairnline.routing.Core;
+import cairnline.routing.Dispatcher;
 import cairnline.routing.EngineLink;
 import cairnline.membership.ListedEngine;
 import cairnline.transport.HttpLink;
@@ -45,13 +45,13 @@
     }
 
     @Override
-    public EngineLink link(ListedEngine engine, Core core, Configuration configuration, Clock clock) {
+    public EngineLink link(ListedEngine engine, Dispatcher core, Configuration configuration, Clock clock) {
         return new HttpLink(Configuration.address("dial", engine.address()), core, configuration.limits(),
                 loop.get(configuration, clock), connections);
     }
 
     @Override
-    public int start(Core core, Configuration configuration, Clock clock) throws IOException {
+    public int start(Dispatcher core, Configuration configuration, Clock clock) throws IOException {
         Listener listener = new Listener(configuration.listen(), Math.min(mostClients, configuration.limits().clients().connections()),
                 configuration.limits(), loop.get(configuration, clock), Events.NONE);
         front = new ODataFront(listener, core, MODEL, configuration.patience(), configuration.limits(), Events.NONE);
--- a/src/test/java/cairnline/program/ReadersTest.java
+++ b/src/test/java/cairnline/program/ReadersTest.java
@@ -7,7 +7,7 @@
 import cairnline.pools.ConnectionBudget;
 import cairnline.protocol.Resp;
 import cairnline.routing.Clock;
-import cairnline.routing.Core;
+import cairnline.routing.Dispatcher;
 import cairnline.routing.EngineLink;
 import cairnline.routing.Limits;
 import cairnline.transport.EventLoop;
@@ -42,7 +42,7 @@
         Clock clock = new Clock();
         LinkedBlockingQueue<Map<String, Double>> reports = new LinkedBlockingQueue<>();
         ConnectionBudget<PooledLink.Connection> connections = new ConnectionBudget<>(ENGINES, limits.engines().idle());
-        Core core = new Core(configuration.settings(), configuration.seed(), limits, clock, line -> { },
+        Dispatcher core = new Dispatcher(configuration.settings(), configuration.seed(), limits, clock, line -> { },
                 (engine, owner) -> null);
         List<Socket> accepted = new ArrayList<>();
         try (EventLoop loop = new EventLoop("connections", limits.routing().stackBytes(), clock);
--- a/src/test/java/cairnline/program/Scenario.java
+++ b/src/test/java/cairnline/program/Scenario.java
@@ -7,7 +7,7 @@
 
 import cairnline.control.ControlApi.Listed;
 import cairnline.routing.Clock;
-import cairnline.routing.Core;
+import cairnline.routing.Dispatcher;
 import cairnline.membership.ListedEngine;
 import cairnline.program.Wire.Ask;
 import cairnline.program.Wire.Heard;
@@ -68,7 +68,7 @@
     private static final int FLOOD_BLOCKS = 4_096;
 
     private final Wire wire;
-    private final Core core;
+    private final Dispatcher core;
     private final int port;
     private final Map<String, ServerSocket> engines = new HashMap<>();
     private final Map<String, Client> clients = new HashMap<>();
@@ -87,7 +87,7 @@
         Configuration configuration = Configuration.of(Scenario.class.getResourceAsStream("/config.json")
                 .readAllBytes(), null);
         Clock clock = new Clock();
-        core = new Core(configuration.settings(), configuration.seed(), configuration.limits(), clock, line -> { },
+        core = new Dispatcher(configuration.settings(), configuration.seed(), configuration.limits(), clock, line -> { },
                 (engine, owner) -> wire.link(engine, owner, configuration, clock));
         core.start();
         port = wire.start(core, configuration, clock);
--- a/src/test/java/cairnline/program/Wire.java
+++ b/src/test/java/cairnline/program/Wire.java
@@ -1,7 +1,7 @@
 package cairnline.program;
 
 import cairnline.routing.Clock;
-import cairnline.routing.Core;
+import cairnline.routing.Dispatcher;
 import cairnline.routing.EngineLink;
 import cairnline.membership.ListedEngine;
 import java.io.IOException;
@@ -20,10 +20,10 @@
         List<Heard> read(byte[] bytes, int count);
     }
 
-    EngineLink link(ListedEngine engine, Core core, Configuration configuration, Clock clock);
+    EngineLink link(ListedEngine engine, Dispatcher core, Configuration configuration, Clock clock);
 
     /** Starts the front; gives its port. */
-    int start(Core core, Configuration configuration, Clock clock) throws IOException;
+    int start(Dispatcher core, Configuration configuration, Clock clock) throws IOException;
 
     /** Ends its thread. */
     @Override
