--- a/src/main/java/cairnline/routing/Vital.java
+++ b/src/main/java/cairnline/routing/CriticalThread.java
@@ -4,8 +4,8 @@
  * A thread without which the program serves nobody, though its process would live on: what ends the thread is to end the
  * process. Whoever handles uncaught errors tells it from the end of any other thread by {@link Ended}.
  */
-public final class Vital {
-    private Vital() { }
+public final class CriticalThread {
+    private CriticalThread() { }
 
     /** Such a thread has ended, for this reason. */
     public static final class Ended extends Error {
--- a/src/main/java/cairnline/transport/EventLoop.java
+++ b/src/main/java/cairnline/transport/EventLoop.java
@@ -1,7 +1,7 @@
 package cairnline.transport;
 
 import cairnline.routing.Clock;
-import cairnline.routing.Vital;
+import cairnline.routing.CriticalThread;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.channels.SelectableChannel;
@@ -53,7 +53,7 @@
     public EventLoop(String name, int stackBytes, Clock clock) throws IOException {
         this.clock = clock;
         this.selector = Selector.open();
-        this.thread = new Thread(null, Vital.task(this::run), name, stackBytes);
+        this.thread = new Thread(null, CriticalThread.task(this::run), name, stackBytes);
         thread.setDaemon(true);
     }
 
--- a/src/test/java/cairnline/program/FaultsTest.java
+++ b/src/test/java/cairnline/program/FaultsTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cairnline.routing.Clock;
-import cairnline.routing.Vital;
+import cairnline.routing.CriticalThread;
 import java.io.ByteArrayOutputStream;
 import java.io.PrintStream;
 import java.util.ArrayList;
@@ -34,7 +34,7 @@
 
     @Test
     void theEndOfAThreadThatIsNeededEndsTheProcess() throws Exception {
-        ends(Vital.task(() -> {
+        ends(CriticalThread.task(() -> {
             throw new IllegalStateException("odd");
         }));
         assertTrue(written.toString().contains("java.lang.IllegalStateException: odd"), written.toString());
