--- a/src/main/java/cairnline/routing/CriticalThread.java
+++ b/src/main/java/cairnline/routing/CriticalThread.java
@@ -2,16 +2,16 @@
 
 /**
  * A thread without which the program serves nobody, though its process would live on: what ends the thread is to end the
- * process. Whoever handles uncaught errors tells it from the end of any other thread by {@link Ended}.
+ * process. Whoever handles uncaught errors tells it from the end of any other thread by {@link Terminated}.
  */
 public final class CriticalThread {
     private CriticalThread() { }
 
     /** Such a thread has ended, for this reason. */
-    public static final class Ended extends Error {
+    public static final class Terminated extends Error {
         private static final long serialVersionUID = 1L;
 
-        Ended(Throwable cause) {
+        Terminated(Throwable cause) {
             super(cause);
         }
     }
@@ -22,7 +22,7 @@
             try {
                 task.run();
             } catch (RuntimeException | Error e) {
-                throw new Ended(e);
+                throw new Terminated(e);
             }
         };
     }
