--- a/src/main/java/cairnline/program/ODataServer.java
+++ b/src/main/java/cairnline/program/ODataServer.java
@@ -3,7 +3,7 @@
 import cairnline.logs.Events;
 import cairnline.pools.ConnectionBudget;
 import cairnline.routing.Dispatcher;
-import cairnline.routing.EngineList;
+import cairnline.routing.EngineListUpdates;
 import cairnline.routing.WallClock;
 import cairnline.transport.EventLoop;
 import cairnline.transport.FeedClient;
@@ -16,7 +16,7 @@
 /** The OData front with a core and engines of its own: engines that speak OData can't run what the platform sends. */
 final class ODataServer {
     private final Dispatcher core;
-    private final EngineList list;
+    private final EngineListUpdates list;
     private final ODataFront front;
     private final Listener listener;
     private final long drainMost;
@@ -32,7 +32,7 @@
         core = new Dispatcher(configuration.settings().withoutReports(), configuration.seed(), limits, clock,
                 line -> log.warn("module", line),
                 (engine, owner) -> new HttpLink(Server.reach(engine.address(), log), owner, limits, loop, connections));
-        list = new EngineList(core, limits, clock);
+        list = new EngineListUpdates(core, limits, clock);
         listener = new Listener(odata.listen(), limits.clients().connections() / 2, limits, loop, log);
         front = new ODataFront(listener, core, odata.model(), configuration.patience(), limits, log);
         feed = odata.feed() == null ? null : new FeedClient(odata.feed(), list, limits, clock, new WallClock(clock), log);
--- a/src/main/java/cairnline/program/Server.java
+++ b/src/main/java/cairnline/program/Server.java
@@ -7,7 +7,7 @@
 import cairnline.protocol.FeedEvent;
 import cairnline.routing.Clock;
 import cairnline.routing.Dispatcher;
-import cairnline.routing.EngineList;
+import cairnline.routing.EngineListUpdates;
 import cairnline.routing.Limits;
 import cairnline.routing.Request;
 import cairnline.routing.RequestTrace;
@@ -39,7 +39,7 @@
     private final EventLoop loop;
     private final SnapshotKeeper keeper;
     private final Dispatcher core;
-    private final EngineList list;
+    private final EngineListUpdates list;
     private final FeedClient feed;
     private final ClientFront clients;
     private final ODataServer odata;
@@ -63,7 +63,7 @@
                 settings.trust(), keeper == null ? Keeper.NONE : keeper, settings.logRequests() ? this::trace : RequestTrace.OFF);
         // What the configuration knows is as old as the start takes: an engine may have begun to drain since.
         core.awaitFeed();
-        list = new EngineList(core, limits, clock);
+        list = new EngineListUpdates(core, limits, clock);
         feed = new FeedClient(configuration.feed(), list, limits, clock, wallClock, log);
         clients = new ClientFront(new Listener(configuration.listen(), limits.clients().connections(), limits, loop, log), core,
                 configuration.classes(), limits, log);
--- a/src/main/java/cairnline/routing/EngineList.java
+++ b/src/main/java/cairnline/routing/EngineListUpdates.java
@@ -4,13 +4,13 @@
 import java.util.List;
 
 /** The list's actor: takes numbered changes in order, once each, and hands them to the core. */
-public final class EngineList implements Actor.Turns {
+public final class EngineListUpdates implements Actor.Turns {
     private final Dispatcher core;
     private final Actor actor;
     private volatile long last;
 
     /** A list without engines. */
-    public EngineList(Dispatcher core, Limits limits, Clock clock) {
+    public EngineListUpdates(Dispatcher core, Limits limits, Clock clock) {
         this.core = core;
         int mailbox = limits.connections().mailbox();
         this.actor = new Actor("list", mailbox, mailbox, limits.routing().stackBytes(), clock, this);
--- a/src/main/java/cairnline/transport/FeedClient.java
+++ b/src/main/java/cairnline/transport/FeedClient.java
@@ -5,7 +5,7 @@
 import cairnline.protocol.FeedEvent;
 import cairnline.protocol.ProtocolException;
 import cairnline.routing.Clock;
-import cairnline.routing.EngineList;
+import cairnline.routing.EngineListUpdates;
 import cairnline.routing.Limits;
 import cairnline.routing.WallClock;
 import cairnline.logs.Events;
@@ -21,7 +21,7 @@
 public final class FeedClient {
     private static final int READ_SIZE = 8192;
 
-    private final EngineList list;
+    private final EngineListUpdates list;
     private final Limits limits;
     private final Clock clock;
     private final WallClock wallClock;
@@ -32,7 +32,7 @@
     private Socket socket = new Socket();
 
     /** A client that does not follow yet. */
-    public FeedClient(InetSocketAddress address, EngineList list, Limits limits, Clock clock, WallClock wallClock,
+    public FeedClient(InetSocketAddress address, EngineListUpdates list, Limits limits, Clock clock, WallClock wallClock,
                       Events log) {
         this.address = address;
         this.list = list;
--- a/src/test/java/cairnline/program/FirstAskTest.java
+++ b/src/test/java/cairnline/program/FirstAskTest.java
@@ -6,7 +6,7 @@
 import cairnline.logs.EventLog;
 import cairnline.routing.Clock;
 import cairnline.routing.Dispatcher;
-import cairnline.routing.EngineList;
+import cairnline.routing.EngineListUpdates;
 import cairnline.routing.Limits;
 import cairnline.routing.WallClock;
 import cairnline.standin.StandInFeed;
@@ -55,7 +55,7 @@
         Dispatcher core = new Dispatcher(configuration.settings(), configuration.seed(), limits, clock, line -> { },
                 (engine, owner) -> null);
         core.awaitFeed();
-        EngineList list = new EngineList(core, limits, clock);
+        EngineListUpdates list = new EngineListUpdates(core, limits, clock);
         list.changed(1, true, List.of());
         core.start();
         list.start();
