--- a/src/main/java/cairnline/membership/Keeper.java
+++ b/src/main/java/cairnline/membership/EngineListStore.java
@@ -1,9 +1,9 @@
 package cairnline.membership;
 
 /** Where the list is kept for the next start. All calls come from the core's thread and return at once. */
-public interface Keeper {
+public interface EngineListStore {
     /** Keeps nothing. */
-    Keeper NONE = new Keeper() {
+    EngineListStore NONE = new EngineListStore() {
         @Override
         public void keep(View view, boolean urgent) { }
 
--- a/src/main/java/cairnline/program/Server.java
+++ b/src/main/java/cairnline/program/Server.java
@@ -2,7 +2,7 @@
 
 import cairnline.logs.EventLog;
 import cairnline.logs.Events;
-import cairnline.membership.Keeper;
+import cairnline.membership.EngineListStore;
 import cairnline.pools.ConnectionBudget;
 import cairnline.protocol.FeedEvent;
 import cairnline.routing.Clock;
@@ -60,7 +60,7 @@
                 line -> log.warn("module", line),
                 (engine, owner) -> new RespLink(engine.id(), reach(engine.address(), log), owner, limits, loop, connections,
                         log),
-                settings.trust(), keeper == null ? Keeper.NONE : keeper, settings.logRequests() ? this::trace : RequestTrace.OFF);
+                settings.trust(), keeper == null ? EngineListStore.NONE : keeper, settings.logRequests() ? this::trace : RequestTrace.OFF);
         // What the configuration knows is as old as the start takes: an engine may have begun to drain since.
         core.awaitFeed();
         list = new EngineListUpdates(core, limits, clock);
--- a/src/main/java/cairnline/routing/Dispatcher.java
+++ b/src/main/java/cairnline/routing/Dispatcher.java
@@ -10,7 +10,7 @@
 import cairnline.control.ControlApi.Outcome;
 import cairnline.control.ControlApi.Settings;
 import cairnline.membership.Evidence;
-import cairnline.membership.Keeper;
+import cairnline.membership.EngineListStore;
 import cairnline.membership.ListedEngine;
 import cairnline.membership.Membership;
 import cairnline.membership.Remembered;
@@ -47,7 +47,7 @@
     private final Map<Attempt, Out> out = new IdentityHashMap<>();
     private final EngineRegistry engines;
     private final Membership membership;
-    private final Keeper keeper;
+    private final EngineListStore keeper;
     private final RequestTrace trace;
     private long lookAt = Long.MAX_VALUE;
     private ControlApi control;
@@ -65,12 +65,12 @@
     public Dispatcher(Settings settings, long seed, Limits limits, Clock clock, Consumer<String> log,
                 BiFunction<ListedEngine, Dispatcher, EngineLink> links) {
         this(settings, seed, limits, clock, log, links,
-                TrustSettings.usual(Clock.fromModule(settings.rules().warmWithin())), Keeper.NONE, RequestTrace.OFF);
+                TrustSettings.usual(Clock.fromModule(settings.rules().warmWithin())), EngineListStore.NONE, RequestTrace.OFF);
     }
 
     /** A core that does not run yet; {@code links} opens the way to an engine, {@code keeper} is shown the list. */
     public Dispatcher(Settings settings, long seed, Limits limits, Clock clock, Consumer<String> log,
-                BiFunction<ListedEngine, Dispatcher, EngineLink> links, TrustSettings trust, Keeper keeper,
+                BiFunction<ListedEngine, Dispatcher, EngineLink> links, TrustSettings trust, EngineListStore keeper,
                 RequestTrace trace) {
         this.trace = trace;
         this.membership = new Membership(trust);
--- a/src/main/java/cairnline/store/SnapshotKeeper.java
+++ b/src/main/java/cairnline/store/SnapshotKeeper.java
@@ -1,7 +1,7 @@
 package cairnline.store;
 
 import cairnline.logs.Events;
-import cairnline.membership.Keeper;
+import cairnline.membership.EngineListStore;
 import cairnline.membership.View;
 import java.io.IOException;
 import java.util.concurrent.TimeUnit;
@@ -13,7 +13,7 @@
  * Writes the list on a thread of its own: whoever hands over a view waits for no disk. A view that comes while another
  * waits takes its place. Whatever fails is tried again, and service goes on.
  */
-public final class SnapshotKeeper implements Keeper {
+public final class SnapshotKeeper implements EngineListStore {
     private static final int STACK = 256 * 1024;
 
     private final SnapshotFolder folder;
