--- a/src/main/java/cairnline/membership/EngineListStore.java
+++ b/src/main/java/cairnline/membership/EngineListStore.java
@@ -5,7 +5,7 @@
     /** Keeps nothing. */
     EngineListStore NONE = new EngineListStore() {
         @Override
-        public void keep(View view, boolean urgent) { }
+        public void keep(MembershipView view, boolean urgent) { }
 
         @Override
         public long every() {
@@ -14,7 +14,7 @@
     };
 
     /** Takes over a view; a later one stands in for all before it. Urgent if an engine has begun to drain or has ended. */
-    void keep(View view, boolean urgent);
+    void keep(MembershipView view, boolean urgent);
 
     /** How often it wants one while nothing urgent happens, in microseconds. */
     long every();
--- a/src/main/java/cairnline/membership/Membership.java
+++ b/src/main/java/cairnline/membership/Membership.java
@@ -183,8 +183,8 @@
     }
 
     /** All that is believed now. */
-    public View view(long now) {
-        return new View(now, members.values().toArray(new Member[0]));
+    public MembershipView view(long now) {
+        return new MembershipView(now, members.values().toArray(new Member[0]));
     }
 
     /** Whether something has come that a restart must not forget; asked once. */
--- a/src/main/java/cairnline/membership/View.java
+++ b/src/main/java/cairnline/membership/MembershipView.java
@@ -4,11 +4,11 @@
 import java.util.List;
 
 /** All that is believed at one moment: immutable, made in one copy of references, read on any thread. */
-public final class View {
+public final class MembershipView {
     private final long takenAt;
     private final Member[] members;
 
-    View(long takenAt, Member[] members) {
+    MembershipView(long takenAt, Member[] members) {
         this.takenAt = takenAt;
         this.members = members;
     }
--- a/src/main/java/cairnline/program/MeasureDiscovery.java
+++ b/src/main/java/cairnline/program/MeasureDiscovery.java
@@ -6,7 +6,7 @@
 import cairnline.membership.Remembered;
 import cairnline.membership.State;
 import cairnline.membership.TrustSettings;
-import cairnline.membership.View;
+import cairnline.membership.MembershipView;
 import cairnline.standin.EngineModel;
 import cairnline.standin.StandInFeed;
 import cairnline.standin.StandInRespEngine;
@@ -88,7 +88,7 @@
             List<Double> read = new ArrayList<>();
             for (int i = 0; i < 21; i++) {
                 long start = System.nanoTime();
-                View view = membership.view(i);
+                MembershipView view = membership.view(i);
                 taken.add((System.nanoTime() - start) / 1e6);
                 start = System.nanoTime();
                 byte[] bytes = SnapshotCodec.encode(new Snapshot(1, view.remembered()));
--- a/src/main/java/cairnline/store/SnapshotKeeper.java
+++ b/src/main/java/cairnline/store/SnapshotKeeper.java
@@ -2,7 +2,7 @@
 
 import cairnline.logs.Events;
 import cairnline.membership.EngineListStore;
-import cairnline.membership.View;
+import cairnline.membership.MembershipView;
 import java.io.IOException;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.Condition;
@@ -23,7 +23,7 @@
     private final ReentrantLock lock = new ReentrantLock();
     private final Condition changed = lock.newCondition();
     private final Cadence cadence;
-    private View pending;
+    private MembershipView pending;
     private boolean busy;
 
     /** A keeper that does not run yet; {@code clock} gives microseconds from the Unix epoch. */
@@ -43,7 +43,7 @@
     }
 
     @Override
-    public void keep(View view, boolean urgent) {
+    public void keep(MembershipView view, boolean urgent) {
         lock.lock();
         try {
             pending = view;
@@ -77,7 +77,7 @@
     private void run() {
         try {
             while (true) {
-                View view = next();
+                MembershipView view = next();
                 String cause = write(view);
                 done(view, cause);
             }
@@ -86,7 +86,7 @@
         }
     }
 
-    private View next() throws InterruptedException {
+    private MembershipView next() throws InterruptedException {
         lock.lockInterruptibly();
         try {
             for (long due = cadence.due(); due > clock.getAsLong(); due = cadence.due()) {
@@ -96,7 +96,7 @@
                     changed.await(due - clock.getAsLong(), TimeUnit.MICROSECONDS);
                 }
             }
-            View view = pending;
+            MembershipView view = pending;
             pending = null;
             busy = true;
             cadence.begin(clock.getAsLong());
@@ -107,7 +107,7 @@
     }
 
     /** Null if it is on the disk, else why not. */
-    private String write(View view) {
+    private String write(MembershipView view) {
         try {
             folder.write(SnapshotCodec.encode(new Snapshot(view.takenAt(), view.remembered())));
             return null;
@@ -116,7 +116,7 @@
         }
     }
 
-    private void done(View view, String cause) {
+    private void done(MembershipView view, String cause) {
         lock.lock();
         try {
             busy = false;
