--- a/src/main/java/cairnline/membership/Member.java
+++ b/src/main/java/cairnline/membership/Member.java
@@ -25,7 +25,7 @@
     }
 
     /** Its age counts in both directions: a clock that was set back makes an entry no younger. */
-    static Member remembered(Remembered r, long now, TrustSettings settings) {
+    static Member remembered(StoredEngine r, long now, TrustSettings settings) {
         long age = Math.abs(now - r.confirmedAt());
         ListedEngine engine = r.engine().startedAt() > now ? r.engine().startedAt(now) : r.engine();
         return new Member(engine, State.remembered(r.last()),
@@ -54,8 +54,8 @@
         return new Member(engine.as(Listed.GONE), State.GONE, trust, toldAt, aliveAt, 0, because);
     }
 
-    Remembered remembered() {
-        return new Remembered(engine, state, toldAt, aliveAt);
+    StoredEngine remembered() {
+        return new StoredEngine(engine, state, toldAt, aliveAt);
     }
 
     /**
--- a/src/main/java/cairnline/membership/Membership.java
+++ b/src/main/java/cairnline/membership/Membership.java
@@ -38,10 +38,10 @@
     // ---- What comes in ----
 
     /** Takes up what the disk remembers, which counts until the feed tells; gives the offers. */
-    public List<ListedEngine> restore(long now, List<Remembered> kept) {
+    public List<ListedEngine> restore(long now, List<StoredEngine> kept) {
         restored = true;
         List<ListedEngine> offers = new ArrayList<>();
-        for (Remembered each : kept) {
+        for (StoredEngine each : kept) {
             Member member = Member.remembered(each, now, settings);
             if (!heard && member.state() != State.GONE && !members.containsKey(member.engine().id())) {
                 put(member, now);
--- a/src/main/java/cairnline/membership/MembershipView.java
+++ b/src/main/java/cairnline/membership/MembershipView.java
@@ -24,7 +24,7 @@
     }
 
     /** What the disk keeps of it. */
-    public List<Remembered> remembered() {
+    public List<StoredEngine> remembered() {
         return Arrays.stream(members).map(Member::remembered).toList();
     }
 }
--- a/src/main/java/cairnline/membership/Remembered.java
+++ b/src/main/java/cairnline/membership/StoredEngine.java
@@ -8,7 +8,7 @@
  * @param toldAt when the feed last told of it
  * @param aliveAt when it was last seen alive, to within a second; 0 for never
  */
-public record Remembered(ListedEngine engine, State last, long toldAt, long aliveAt) {
+public record StoredEngine(ListedEngine engine, State last, long toldAt, long aliveAt) {
     /** When this was last confirmed, by the feed or by what was seen. */
     public long confirmedAt() {
         return Math.max(toldAt, aliveAt);
--- a/src/main/java/cairnline/program/ListCommand.java
+++ b/src/main/java/cairnline/program/ListCommand.java
@@ -1,7 +1,7 @@
 package cairnline.program;
 
 import cairnline.membership.ListedEngine;
-import cairnline.membership.Remembered;
+import cairnline.membership.StoredEngine;
 import cairnline.store.Snapshot;
 import cairnline.store.SnapshotCodec;
 import cairnline.store.SnapshotException;
@@ -32,7 +32,7 @@
         System.out.println("saved " + time(kept.savedAt()) + ", " + kept.engines().size() + " engines");
         System.out.printf(Locale.ROOT, "%-24s %-22s %-10s %-10s %-11s %-25s %s%n", "id", "address", "zone", "kind",
                 "believed", "told", "alive");
-        for (Remembered each : kept.engines()) {
+        for (StoredEngine each : kept.engines()) {
             ListedEngine e = each.engine();
             System.out.printf(Locale.ROOT, "%-24s %-22s %-10s %-10s %-11s %-25s %s%n", e.id(), e.address(), e.zone(),
                     e.kind(), each.last().name().toLowerCase(Locale.ROOT), time(each.toldAt()), time(each.aliveAt()));
--- a/src/main/java/cairnline/program/MeasureDiscovery.java
+++ b/src/main/java/cairnline/program/MeasureDiscovery.java
@@ -3,7 +3,7 @@
 import cairnline.control.ControlApi.Listed;
 import cairnline.membership.ListedEngine;
 import cairnline.membership.Membership;
-import cairnline.membership.Remembered;
+import cairnline.membership.StoredEngine;
 import cairnline.membership.State;
 import cairnline.membership.TrustSettings;
 import cairnline.membership.MembershipView;
@@ -111,8 +111,8 @@
 
     // ---- Starts ----
 
-    private Remembered kept(String id, String address) {
-        return new Remembered(new ListedEngine(id, address, Listed.READY, "dc1", "std16", 0, 4, 0), State.TOLD,
+    private StoredEngine kept(String id, String address) {
+        return new StoredEngine(new ListedEngine(id, address, Listed.READY, "dc1", "std16", 0, 4, 0), State.TOLD,
                 System.currentTimeMillis() * 1_000 - 10 * SECOND, 0);
     }
 
@@ -120,7 +120,7 @@
             throws IOException {
         Path kept = Files.createDirectories(folder.resolve(name + "-kept-" + self));
         if (engines != null) {
-            List<Remembered> all = new ArrayList<>();
+            List<StoredEngine> all = new ArrayList<>();
             for (StandInRespEngine each : engines) {
                 all.add(kept("e" + all.size(), each.address()));
             }
--- a/src/main/java/cairnline/routing/Dispatcher.java
+++ b/src/main/java/cairnline/routing/Dispatcher.java
@@ -13,7 +13,7 @@
 import cairnline.membership.EngineListStore;
 import cairnline.membership.ListedEngine;
 import cairnline.membership.Membership;
-import cairnline.membership.Remembered;
+import cairnline.membership.StoredEngine;
 import cairnline.membership.TrustSettings;
 import java.util.ArrayDeque;
 import java.util.Arrays;
@@ -154,7 +154,7 @@
     }
 
     /** The list of an earlier run, from disk; it counts until the feed tells. */
-    public void remembered(List<Remembered> kept) {
+    public void remembered(List<StoredEngine> kept) {
         actor.put(() -> restore(kept));
     }
 
@@ -485,11 +485,11 @@
         }
     }
 
-    private void restore(List<Remembered> kept) {
+    private void restore(List<StoredEngine> kept) {
         List<ListedEngine> offers = membership.restore(now, kept);
         if (!offers.isEmpty()) {
             // The links go by the list; what may be offered on them is told to the module alone.
-            engines.update(now, false, kept.stream().map(Remembered::engine).toList());
+            engines.update(now, false, kept.stream().map(StoredEngine::engine).toList());
             offer(false, offers);
         }
     }
--- a/src/main/java/cairnline/store/Snapshot.java
+++ b/src/main/java/cairnline/store/Snapshot.java
@@ -1,7 +1,7 @@
 package cairnline.store;
 
-import cairnline.membership.Remembered;
+import cairnline.membership.StoredEngine;
 import java.util.List;
 
 /** A list as it was kept: when, in microseconds from the Unix epoch, and what of each engine. */
-public record Snapshot(long savedAt, List<Remembered> engines) { }
+public record Snapshot(long savedAt, List<StoredEngine> engines) { }
--- a/src/main/java/cairnline/store/SnapshotCodec.java
+++ b/src/main/java/cairnline/store/SnapshotCodec.java
@@ -2,7 +2,7 @@
 
 import cairnline.control.ControlApi.Listed;
 import cairnline.membership.ListedEngine;
-import cairnline.membership.Remembered;
+import cairnline.membership.StoredEngine;
 import cairnline.membership.State;
 import cairnline.store.SnapshotException.Cause;
 import java.nio.BufferUnderflowException;
@@ -46,7 +46,7 @@
     public static byte[] encode(Snapshot snapshot) {
         List<byte[][]> texts = new ArrayList<>(snapshot.engines().size());
         int length = HEAD + HASH;
-        for (Remembered each : snapshot.engines()) {
+        for (StoredEngine each : snapshot.engines()) {
             ListedEngine e = each.engine();
             byte[][] own = {utf8(e.id()), utf8(e.address()), utf8(e.zone()), utf8(e.kind())};
             texts.add(own);
@@ -71,7 +71,7 @@
         return bytes;
     }
 
-    private static void put(ByteBuffer out, Remembered each, byte[][] texts) {
+    private static void put(ByteBuffer out, StoredEngine each, byte[][] texts) {
         for (byte[] text : texts) {
             out.putShort((short) text.length).put(text);
         }
@@ -114,7 +114,7 @@
         try {
             long savedAt = in.getLong();
             int count = in.getInt();
-            List<Remembered> engines = new ArrayList<>(Math.max(0, Math.min(count, in.remaining() / FIXED)));
+            List<StoredEngine> engines = new ArrayList<>(Math.max(0, Math.min(count, in.remaining() / FIXED)));
             // Zones and kinds are few: one copy of each is enough.
             Map<String, String> shared = new HashMap<>();
             for (int i = 0; i < count; i++) {
@@ -129,7 +129,7 @@
         }
     }
 
-    private static Remembered engine(ByteBuffer in, Map<String, String> shared) {
+    private static StoredEngine engine(ByteBuffer in, Map<String, String> shared) {
         String id = text(in);
         String address = text(in);
         String zone = shared.computeIfAbsent(text(in), text -> text);
@@ -139,7 +139,7 @@
         int cell = in.getInt();
         double size = in.getDouble();
         ListedEngine engine = new ListedEngine(id, address, listed, zone, kind, cell, size, in.getLong());
-        return new Remembered(engine, state, in.getLong(), in.getLong());
+        return new StoredEngine(engine, state, in.getLong(), in.getLong());
     }
 
     private static String text(ByteBuffer in) {
--- a/src/test/java/cairnline/membership/MembershipTest.java
+++ b/src/test/java/cairnline/membership/MembershipTest.java
@@ -26,12 +26,12 @@
         return new ListedEngine(id, "127.0.0.1:" + (7_000 + id.charAt(1)), listed, "dc1", "std16", 0, 1, 0);
     }
 
-    private static Remembered kept(String id, State last, long age) {
+    private static StoredEngine kept(String id, State last, long age) {
         Listed listed = last == State.LEAVING ? Listed.DRAINING : last == State.GONE ? Listed.GONE : Listed.READY;
-        return new Remembered(engine(id, listed), last, NOW - age, 0);
+        return new StoredEngine(engine(id, listed), last, NOW - age, 0);
     }
 
-    private void restore(Remembered... kept) {
+    private void restore(StoredEngine... kept) {
         membership.restore(NOW, List.of(kept));
     }
 
@@ -98,9 +98,9 @@
 
     @Test
     void theMostTrustedIsAskedFirstAndNoMoreAtOnceThanAllowed() {
-        Remembered[] many = IntStream.range(0, 200).mapToObj(i -> new Remembered(new ListedEngine("e" + i,
+        StoredEngine[] many = IntStream.range(0, 200).mapToObj(i -> new StoredEngine(new ListedEngine("e" + i,
                 "127.0.0.1:" + (2_000 + i), Listed.READY, "dc1", "std16", 0, 1, 0), State.TOLD, NOW - i * HOUR, 0))
-                .toArray(Remembered[]::new);
+                .toArray(StoredEngine[]::new);
         restore(many);
         List<String> first = asked(NOW);
         assertEquals(IntStream.range(0, settings.probesAtOnce()).mapToObj(i -> "e" + i).toList(), first);
--- a/src/test/java/cairnline/program/DiscoveryTest.java
+++ b/src/test/java/cairnline/program/DiscoveryTest.java
@@ -5,7 +5,7 @@
 
 import cairnline.control.ControlApi.Listed;
 import cairnline.membership.ListedEngine;
-import cairnline.membership.Remembered;
+import cairnline.membership.StoredEngine;
 import cairnline.membership.State;
 import cairnline.standin.EngineModel;
 import cairnline.standin.StandInFeed;
@@ -82,12 +82,12 @@
         return System.currentTimeMillis() * 1_000;
     }
 
-    private static Remembered kept(String id, String address, State last, long age) {
+    private static StoredEngine kept(String id, String address, State last, long age) {
         Listed listed = last == State.LEAVING ? Listed.DRAINING : Listed.READY;
-        return new Remembered(new ListedEngine(id, address, listed, "dc1", "std16", 0, 4, 0), last, unixMicros() - age, 0);
+        return new StoredEngine(new ListedEngine(id, address, listed, "dc1", "std16", 0, 4, 0), last, unixMicros() - age, 0);
     }
 
-    private static Remembered kept(String id, StandInRespEngine engine) {
+    private static StoredEngine kept(String id, StandInRespEngine engine) {
         return kept(id, engine.address(), State.TOLD, 10 * SECOND);
     }
 
@@ -96,7 +96,7 @@
     }
 
     /** A manager that finds this list on its disk. */
-    private ManagerProcess manager(int self, int fronts, String known, Remembered... kept) throws IOException {
+    private ManagerProcess manager(int self, int fronts, String known, StoredEngine... kept) throws IOException {
         Files.createDirectories(snapshots(self));
         Files.write(snapshots(self).resolve("list-0000000000000007.snap"),
                 SnapshotCodec.encode(new Snapshot(unixMicros(), List.of(kept))));
@@ -106,7 +106,7 @@
         return manager;
     }
 
-    private ManagerProcess manager(Remembered... kept) throws IOException {
+    private ManagerProcess manager(StoredEngine... kept) throws IOException {
         return manager(0, 1, "{\"n\": 0, \"events\": []}", kept);
     }
 
@@ -140,7 +140,7 @@
         try (Stream<Path> files = Files.list(snapshots)) {
             Path newest = files.filter(f -> f.toString().endsWith(".snap")).sorted().reduce((a, b) -> b).orElseThrow();
             return SnapshotCodec.decode(Files.readAllBytes(newest)).engines().stream()
-                    .collect(Collectors.toMap(each -> each.engine().id(), Remembered::last));
+                    .collect(Collectors.toMap(each -> each.engine().id(), StoredEngine::last));
         }
     }
 
--- a/src/test/java/cairnline/store/SnapshotCodecTest.java
+++ b/src/test/java/cairnline/store/SnapshotCodecTest.java
@@ -6,7 +6,7 @@
 
 import cairnline.control.ControlApi.Listed;
 import cairnline.membership.ListedEngine;
-import cairnline.membership.Remembered;
+import cairnline.membership.StoredEngine;
 import cairnline.membership.State;
 import cairnline.store.SnapshotException.Cause;
 import java.nio.ByteBuffer;
@@ -25,11 +25,11 @@
 
 class SnapshotCodecTest {
     static Snapshot snapshot(int engines, long savedAt) {
-        List<Remembered> all = new ArrayList<>();
+        List<StoredEngine> all = new ArrayList<>();
         for (int i = 0; i < engines; i++) {
             ListedEngine engine = new ListedEngine("s-" + i, "127.0.0.1:" + (1_024 + i), Listed.READY, "dc1", "std16",
                     i % 3, 4, 0);
-            all.add(new Remembered(engine, State.TOLD, savedAt - i, savedAt));
+            all.add(new StoredEngine(engine, State.TOLD, savedAt - i, savedAt));
         }
         return new Snapshot(savedAt, all);
     }
@@ -39,23 +39,23 @@
     }
 
     @Provide
-    Arbitrary<Remembered> engines() {
+    Arbitrary<StoredEngine> engines() {
         Arbitrary<String> text = Arbitraries.strings().ofMaxLength(40).filter(s -> s.equals(new String(
                 s.getBytes(java.nio.charset.StandardCharsets.UTF_8), java.nio.charset.StandardCharsets.UTF_8)));
         Arbitrary<ListedEngine> listed = Combinators.combine(text, text, Arbitraries.of(Listed.class), text, text,
                 Arbitraries.integers(), Arbitraries.doubles(), Arbitraries.longs()).as(ListedEngine::new);
         return Combinators.combine(listed, Arbitraries.of(State.class), Arbitraries.longs(), Arbitraries.longs())
-                .as(Remembered::new);
+                .as(StoredEngine::new);
     }
 
     @Property(tries = 200)
-    void whatIsWrittenIsRead(@ForAll("lists") List<Remembered> engines, @ForAll long savedAt) throws Exception {
+    void whatIsWrittenIsRead(@ForAll("lists") List<StoredEngine> engines, @ForAll long savedAt) throws Exception {
         Snapshot snapshot = new Snapshot(savedAt, engines);
         assertEquals(snapshot, SnapshotCodec.decode(SnapshotCodec.encode(snapshot)));
     }
 
     @Provide
-    Arbitrary<List<Remembered>> lists() {
+    Arbitrary<List<StoredEngine>> lists() {
         return engines().list().ofMaxSize(20);
     }
 
@@ -97,7 +97,7 @@
     void aTextThatIsTooLongIsNoReasonToWriteHalf() {
         ListedEngine engine = new ListedEngine("s".repeat(70_000), "a", Listed.READY, "z", "k", 0, 1, 0);
         try {
-            SnapshotCodec.encode(new Snapshot(0, List.of(new Remembered(engine, State.TOLD, 0, 0))));
+            SnapshotCodec.encode(new Snapshot(0, List.of(new StoredEngine(engine, State.TOLD, 0, 0))));
             fail("it was written");
         } catch (IllegalArgumentException e) {
             assertEquals("a text of 70000 bytes", e.getMessage());
