--- a/src/main/java/cairnline/routing/Dispatcher.java
+++ b/src/main/java/cairnline/routing/Dispatcher.java
@@ -28,7 +28,7 @@
  * The module's actor: owns the open requests, their attempts and all timers, tells the module what happens and
  * carries out what it asks. It knows no wire. What other threads call only leaves a letter.
  */
-public final class Dispatcher implements Actor.Turns, Actions {
+public final class Dispatcher implements Actor.Handler, Actions {
     private static final String STOPS = "this workload manager stops";
     private static final String NO_ENGINE = "no engine that is remembered can be reached";
 
--- a/src/main/java/cairnline/routing/EngineListUpdates.java
+++ b/src/main/java/cairnline/routing/EngineListUpdates.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /** The list's actor: takes numbered changes in order, once each, and hands them to the core. */
-public final class EngineListUpdates implements Actor.Turns {
+public final class EngineListUpdates implements Actor.Handler {
     private final Dispatcher core;
     private final Actor actor;
     private volatile long last;
--- a/src/test/java/cairnline/routing/ActorTest.java
+++ b/src/test/java/cairnline/routing/ActorTest.java
@@ -14,7 +14,7 @@
     private static final int STACK = 256 * 1024;
 
     private static Actor actor(int mailbox) {
-        return new Actor("test", mailbox, mailbox, STACK, new Clock(), new Actor.Turns() {
+        return new Actor("test", mailbox, mailbox, STACK, new Clock(), new Actor.Handler() {
             @Override
             public void begin(long now) { }
 
