--- a/src/main/java/cairnline/routing/Actor.java
+++ b/src/main/java/cairnline/routing/Actor.java
@@ -9,7 +9,7 @@
 /** A thread with a bounded mailbox. Each turn it reads the clock once and takes the letters that are there. */
 public final class Actor {
     /** What happens round the letters of a turn. */
-    public interface Turns {
+    public interface Handler {
         /** A turn begins, at this time. */
         void begin(long now);
 
@@ -23,12 +23,12 @@
     private final BlockingQueue<Runnable> mailbox;
     private final int lettersATurn;
     private final Clock clock;
-    private final Turns turns;
+    private final Handler turns;
     private final Thread thread;
     private volatile boolean stopped;
 
     /** An actor that does not run yet; one whose letters may block takes one a turn, so that its time is true. */
-    public Actor(String name, int mailboxSize, int lettersATurn, int stackBytes, Clock clock, Turns turns) {
+    public Actor(String name, int mailboxSize, int lettersATurn, int stackBytes, Clock clock, Handler turns) {
         this.lettersATurn = lettersATurn;
         this.mailbox = new ArrayBlockingQueue<>(mailboxSize);
         this.clock = clock;
