--- a/src/main/java/cairnline/membership/Member.java
+++ b/src/main/java/cairnline/membership/Member.java
@@ -36,7 +36,7 @@
         if (!state.isWatched() && evidence.isGood() && trust.nats() == Trust.MOST && now - aliveAt < FINENESS) {
             return this;
         }
-        Trust moved = state == State.TOLD ? trust : trust.after(evidence);
+        Trust moved = state == State.CONFIRMED ? trust : trust.after(evidence);
         State next = state.after(evidence, moved.suffices());
         boolean alive = next == State.ALIVE || next == State.PROVEN;
         // What ends a connection may have ended the engine: it may be cold once more.
--- a/src/main/java/cairnline/membership/Membership.java
+++ b/src/main/java/cairnline/membership/Membership.java
@@ -197,11 +197,11 @@
     // ---- State ----
 
     private int offered() {
-        return count(State.TOLD) + count(State.ALIVE) + count(State.PROVEN);
+        return count(State.CONFIRMED) + count(State.ALIVE) + count(State.PROVEN);
     }
 
     private int untold() {
-        return members.size() - count(State.TOLD) - count(State.LEAVING);
+        return members.size() - count(State.CONFIRMED) - count(State.LEAVING);
     }
 
     private void put(Member m, long now) {
--- a/src/main/java/cairnline/program/MeasureDiscovery.java
+++ b/src/main/java/cairnline/program/MeasureDiscovery.java
@@ -112,7 +112,7 @@
     // ---- Starts ----
 
     private StoredEngine kept(String id, String address) {
-        return new StoredEngine(new ListedEngine(id, address, Listed.READY, "dc1", "std16", 0, 4, 0), State.TOLD,
+        return new StoredEngine(new ListedEngine(id, address, Listed.READY, "dc1", "std16", 0, 4, 0), State.CONFIRMED,
                 System.currentTimeMillis() * 1_000 - 10 * SECOND, 0);
     }
 
--- a/src/test/java/cairnline/membership/MembershipTest.java
+++ b/src/test/java/cairnline/membership/MembershipTest.java
@@ -62,7 +62,7 @@
 
     @Test
     void aRememberedEngineIsOfferedAsJustStartedOnceItAnswers() {
-        restore(kept("e1", State.TOLD, 10 * SECOND));
+        restore(kept("e1", State.CONFIRMED, 10 * SECOND));
         assertEquals(Listed.DRAINING, offered("e1"));
         assertEquals(List.of("e1"), asked(NOW));
         ListedEngine offer = membership.seen(NOW + 3 * MS, "e1", Evidence.PROBE_ANSWERED);
@@ -80,7 +80,7 @@
         int[] answersNeeded = {1, 1, 2, 3};
         for (int i = 0; i < ages.length; i++) {
             Membership each = new Membership(settings);
-            each.restore(NOW, List.of(kept("e1", State.TOLD, ages[i])));
+            each.restore(NOW, List.of(kept("e1", State.CONFIRMED, ages[i])));
             int answers = 0;
             while (each.state("e1") == State.REMEMBERED) {
                 each.seen(NOW + ++answers, "e1", Evidence.PROBE_ANSWERED);
@@ -91,7 +91,7 @@
 
     @Test
     void aClockThatWasSetBackMakesNoEntryYounger() {
-        restore(kept("e1", State.TOLD, settings.halfLife()), kept("e2", State.TOLD, -settings.halfLife()));
+        restore(kept("e1", State.CONFIRMED, settings.halfLife()), kept("e2", State.CONFIRMED, -settings.halfLife()));
         assertEquals(membership.trust("e1"), membership.trust("e2"), 1e-9);
         assertTrue(membership.trust("e2") < settings.fresh());
     }
@@ -99,7 +99,7 @@
     @Test
     void theMostTrustedIsAskedFirstAndNoMoreAtOnceThanAllowed() {
         StoredEngine[] many = IntStream.range(0, 200).mapToObj(i -> new StoredEngine(new ListedEngine("e" + i,
-                "127.0.0.1:" + (2_000 + i), Listed.READY, "dc1", "std16", 0, 1, 0), State.TOLD, NOW - i * HOUR, 0))
+                "127.0.0.1:" + (2_000 + i), Listed.READY, "dc1", "std16", 0, 1, 0), State.CONFIRMED, NOW - i * HOUR, 0))
                 .toArray(StoredEngine[]::new);
         restore(many);
         List<String> first = asked(NOW);
@@ -112,7 +112,7 @@
     void enoughOfferedEnginesLeaveTheRestAlone() {
         TrustSettings few = new TrustSettings(HOUR, 0.9, WARM, 400 * MS, 100 * MS, SECOND, 4, 2, SECOND);
         Membership each = new Membership(few);
-        each.restore(NOW, List.of(kept("e1", State.TOLD, 0), kept("e2", State.TOLD, MS), kept("e3", State.TOLD, HOUR)));
+        each.restore(NOW, List.of(kept("e1", State.CONFIRMED, 0), kept("e2", State.CONFIRMED, MS), kept("e3", State.CONFIRMED, HOUR)));
         for (String id : List.of("e1", "e2")) {
             assertEquals(id, each.probe(NOW));
             each.seen(NOW, id, Evidence.PROBE_ANSWERED);
@@ -126,7 +126,7 @@
 
     @Test
     void silenceIsNotedWhenItsTimeIsUpAndAskedAgainAtGrowingPauses() {
-        restore(kept("e1", State.TOLD, 0));
+        restore(kept("e1", State.CONFIRMED, 0));
         List<Long> pauses = new ArrayList<>();
         long now = NOW;
         for (int i = 0; i < 9; i++) {
@@ -161,7 +161,7 @@
 
     @Test
     void whatIsNoEngineIsToldApartFromAnEngineThatSpoilsAnAnswer() {
-        restore(kept("e1", State.TOLD, 0), kept("e2", State.TOLD, 0));
+        restore(kept("e1", State.CONFIRMED, 0), kept("e2", State.CONFIRMED, 0));
         membership.seen(NOW, "e1", Evidence.UNREADABLE);
         assertEquals(State.MISTAKEN, membership.state("e1"));
         membership.seen(NOW, "e1", Evidence.REFUSED);
@@ -175,7 +175,7 @@
 
     @Test
     void aBrokenConnectionMakesItColdOnceMore() {
-        restore(kept("e1", State.TOLD, 0));
+        restore(kept("e1", State.CONFIRMED, 0));
         membership.seen(NOW, "e1", Evidence.PROBE_ANSWERED);
         membership.turn(NOW + WARM);
         assertEquals(State.PROVEN, membership.state("e1"));
@@ -189,21 +189,21 @@
 
     @Test
     void theFirstWholeListReplacesAllThatWasRemembered() {
-        restore(kept("e1", State.TOLD, 0), kept("e2", State.TOLD, 0), kept("e3", State.TOLD, 0));
+        restore(kept("e1", State.CONFIRMED, 0), kept("e2", State.CONFIRMED, 0), kept("e3", State.CONFIRMED, 0));
         membership.seen(NOW, "e1", Evidence.PROBE_ANSWERED);
         membership.told(NOW + MS, true, List.of(engine("e1", Listed.READY), engine("e2", Listed.DRAINING)));
-        assertEquals(State.TOLD, membership.state("e1"));
+        assertEquals(State.CONFIRMED, membership.state("e1"));
         assertEquals(0, membership.offer(engine("e1", Listed.READY)).startedAt(), "the feed knows since when it runs");
         assertEquals(State.LEAVING, membership.state("e2"));
         assertNull(membership.state("e3"));
         assertTrue(membership.takeUrgent());
         assertTrue(asked(NOW + SECOND).isEmpty());
-        assertTrue(membership.restore(NOW + SECOND, List.of(kept("e4", State.TOLD, 0))).isEmpty(), "too late");
+        assertTrue(membership.restore(NOW + SECOND, List.of(kept("e4", State.CONFIRMED, 0))).isEmpty(), "too late");
     }
 
     @Test
     void anAddressGivenToANewEngineEndsTheOneRememberedThere() {
-        restore(kept("e1", State.TOLD, 0), kept("e2", State.TOLD, 0));
+        restore(kept("e1", State.CONFIRMED, 0), kept("e2", State.CONFIRMED, 0));
         ListedEngine next = new ListedEngine("n1", engine("e1", Listed.READY).address(), Listed.READY, "dc1", "std16",
                 0, 1, 0);
         List<ListedEngine> entries = membership.told(NOW, false, List.of(next));
@@ -227,7 +227,7 @@
     /** Each state, what may come, and where it leads: the drawing in docs/membership.md, as a table. */
     @Test
     void theStateMachineIsAsDrawn() {
-        for (State state : Set.of(State.TOLD, State.LEAVING, State.GONE)) {
+        for (State state : Set.of(State.CONFIRMED, State.LEAVING, State.GONE)) {
             for (Evidence seen : Evidence.values()) {
                 assertEquals(state, state.after(seen, true));
                 assertEquals(state, state.after(seen, false));
--- a/src/test/java/cairnline/program/DiscoveryTest.java
+++ b/src/test/java/cairnline/program/DiscoveryTest.java
@@ -88,7 +88,7 @@
     }
 
     private static StoredEngine kept(String id, StandInRespEngine engine) {
-        return kept(id, engine.address(), State.TOLD, 10 * SECOND);
+        return kept(id, engine.address(), State.CONFIRMED, 10 * SECOND);
     }
 
     private Path snapshots(int self) {
@@ -227,15 +227,15 @@
         until(() -> !feed.asked().isEmpty());
         served(client, 5);
         assertEquals(0, manager.end());
-        assertEquals(Map.of("new", State.TOLD), last(snapshots(0)));
+        assertEquals(Map.of("new", State.CONFIRMED), last(snapshots(0)));
     }
 
     @Test
     void withEveryEntryStaleItServesAllTheSameOnceTheyHaveShownThemselves() throws Exception {
         StandInRespEngine one = engine();
         StandInRespEngine two = engine();
-        ManagerProcess manager = manager(kept("e1", one.address(), State.TOLD, YEAR),
-                kept("e2", two.address(), State.TOLD, 2 * YEAR));
+        ManagerProcess manager = manager(kept("e1", one.address(), State.CONFIRMED, YEAR),
+                kept("e2", two.address(), State.CONFIRMED, 2 * YEAR));
         served(client(manager), 20);
     }
 
--- a/src/test/java/cairnline/store/SnapshotCodecTest.java
+++ b/src/test/java/cairnline/store/SnapshotCodecTest.java
@@ -29,7 +29,7 @@
         for (int i = 0; i < engines; i++) {
             ListedEngine engine = new ListedEngine("s-" + i, "127.0.0.1:" + (1_024 + i), Listed.READY, "dc1", "std16",
                     i % 3, 4, 0);
-            all.add(new StoredEngine(engine, State.TOLD, savedAt - i, savedAt));
+            all.add(new StoredEngine(engine, State.CONFIRMED, savedAt - i, savedAt));
         }
         return new Snapshot(savedAt, all);
     }
@@ -97,7 +97,7 @@
     void aTextThatIsTooLongIsNoReasonToWriteHalf() {
         ListedEngine engine = new ListedEngine("s".repeat(70_000), "a", Listed.READY, "z", "k", 0, 1, 0);
         try {
-            SnapshotCodec.encode(new Snapshot(0, List.of(new StoredEngine(engine, State.TOLD, 0, 0))));
+            SnapshotCodec.encode(new Snapshot(0, List.of(new StoredEngine(engine, State.CONFIRMED, 0, 0))));
             fail("it was written");
         } catch (IllegalArgumentException e) {
             assertEquals("a text of 70000 bytes", e.getMessage());
