--- a/src/main/java/cairnline/membership/Membership.java
+++ b/src/main/java/cairnline/membership/Membership.java
@@ -152,7 +152,7 @@
      * request may be served or is worth holding. Only for a list that was restored and not told since.
      */
     public long comeBack(long now) {
-        if (!restored || heard || offered() > 0 || count(State.REMEMBERED) > 0) {
+        if (!restored || heard || offered() > 0 || count(State.RESTORED) > 0) {
             return 0;
         }
         long soonest = probes.soonestAgain();
--- a/src/test/java/cairnline/membership/MembershipTest.java
+++ b/src/test/java/cairnline/membership/MembershipTest.java
@@ -82,7 +82,7 @@
             Membership each = new Membership(settings);
             each.restore(NOW, List.of(kept("e1", State.CONFIRMED, ages[i])));
             int answers = 0;
-            while (each.state("e1") == State.REMEMBERED) {
+            while (each.state("e1") == State.RESTORED) {
                 each.seen(NOW + ++answers, "e1", Evidence.PROBE_ANSWERED);
             }
             assertEquals(answersNeeded[i], answers, "age " + ages[i]);
@@ -210,7 +210,7 @@
         assertEquals(List.of("n1", "e1"), entries.stream().map(ListedEngine::id).toList());
         assertEquals(Listed.GONE, entries.get(1).listed());
         assertNull(membership.state("e1"));
-        assertEquals(State.REMEMBERED, membership.state("e2"));
+        assertEquals(State.RESTORED, membership.state("e2"));
     }
 
     @Test
@@ -233,15 +233,15 @@
                 assertEquals(state, state.after(seen, false));
             }
         }
-        for (State state : Set.of(State.REMEMBERED, State.ILL)) {
+        for (State state : Set.of(State.RESTORED, State.ILL)) {
             assertEquals(State.ALIVE, state.after(Evidence.PROBE_ANSWERED, true));
-            assertEquals(State.REMEMBERED, state.after(Evidence.PROBE_ANSWERED, false));
+            assertEquals(State.RESTORED, state.after(Evidence.PROBE_ANSWERED, false));
             assertEquals(State.ILL, state.after(Evidence.SILENCE, true));
             assertEquals(State.ILL, state.after(Evidence.REFUSED, false));
             assertEquals(State.MISTAKEN, state.after(Evidence.UNREADABLE, true));
         }
         assertEquals(State.MISTAKEN, State.MISTAKEN.after(Evidence.SILENCE, false));
-        assertEquals(State.REMEMBERED, State.MISTAKEN.after(Evidence.PROBE_ANSWERED, false));
+        assertEquals(State.RESTORED, State.MISTAKEN.after(Evidence.PROBE_ANSWERED, false));
         for (State state : Set.of(State.ALIVE, State.PROVEN)) {
             assertEquals(state, state.after(Evidence.WORK_SERVED, true));
             assertEquals(State.ALIVE, state.after(Evidence.RESET, true));
