--- a/src/main/java/cairnline/membership/Member.java
+++ b/src/main/java/cairnline/membership/Member.java
@@ -38,7 +38,7 @@
         }
         Trust moved = state == State.CONFIRMED ? trust : trust.after(evidence);
         State next = state.after(evidence, moved.suffices());
-        boolean alive = next == State.ALIVE || next == State.PROVEN;
+        boolean alive = next == State.ALIVE || next == State.WARM;
         // What ends a connection may have ended the engine: it may be cold once more.
         boolean anew = !evidence.isGood() || state.isWatched();
         long since = !alive ? 0 : anew || aliveSince == 0 ? now : aliveSince;
@@ -65,7 +65,7 @@
     ListedEngine offer() {
         boolean offered = engine.listed() == Listed.READY && state.isOffered();
         Listed listed = engine.listed() == Listed.READY && !offered ? Listed.DRAINING : engine.listed();
-        long startedAt = state == State.ALIVE || state == State.PROVEN ? Math.max(aliveSince, engine.startedAt())
+        long startedAt = state == State.ALIVE || state == State.WARM ? Math.max(aliveSince, engine.startedAt())
                 : engine.startedAt();
         return new ListedEngine(engine.id(), engine.address(), listed, engine.zone(), engine.kind(), engine.cell(),
                 engine.size(), startedAt, state != State.ALIVE);
--- a/src/main/java/cairnline/membership/Membership.java
+++ b/src/main/java/cairnline/membership/Membership.java
@@ -197,7 +197,7 @@
     // ---- State ----
 
     private int offered() {
-        return count(State.CONFIRMED) + count(State.ALIVE) + count(State.PROVEN);
+        return count(State.CONFIRMED) + count(State.ALIVE) + count(State.WARM);
     }
 
     private int untold() {
--- a/src/test/java/cairnline/membership/MembershipTest.java
+++ b/src/test/java/cairnline/membership/MembershipTest.java
@@ -71,7 +71,7 @@
         assertTrue(!offer.sure(), "and may be the last to warm up");
         assertNull(membership.seen(NOW + 4 * MS, "e1", Evidence.WORK_SERVED), "nothing new to tell the module");
         assertTrue(membership.turn(NOW + 3 * MS + WARM).isEmpty());
-        assertEquals(State.PROVEN, membership.state("e1"));
+        assertEquals(State.WARM, membership.state("e1"));
     }
 
     @Test
@@ -178,7 +178,7 @@
         restore(kept("e1", State.CONFIRMED, 0));
         membership.seen(NOW, "e1", Evidence.PROBE_ANSWERED);
         membership.turn(NOW + WARM);
-        assertEquals(State.PROVEN, membership.state("e1"));
+        assertEquals(State.WARM, membership.state("e1"));
         ListedEngine offer = membership.seen(NOW + WARM + 7, "e1", Evidence.RESET);
         assertNotNull(offer);
         assertEquals(NOW + WARM + 7, offer.startedAt());
@@ -242,7 +242,7 @@
         }
         assertEquals(State.MISTAKEN, State.MISTAKEN.after(Evidence.SILENCE, false));
         assertEquals(State.RESTORED, State.MISTAKEN.after(Evidence.PROBE_ANSWERED, false));
-        for (State state : Set.of(State.ALIVE, State.PROVEN)) {
+        for (State state : Set.of(State.ALIVE, State.WARM)) {
             assertEquals(state, state.after(Evidence.WORK_SERVED, true));
             assertEquals(State.ALIVE, state.after(Evidence.RESET, true));
             assertEquals(State.ILL, state.after(Evidence.RESET, false));
