--- a/src/test/java/cairnline/membership/MembershipTest.java
+++ b/src/test/java/cairnline/membership/MembershipTest.java
@@ -134,7 +134,7 @@
             long silent = membership.due(now);
             assertEquals(now + settings.probeWithin(), silent);
             membership.turn(silent);
-            assertEquals(State.ILL, membership.state("e1"));
+            assertEquals(State.UNHEALTHY, membership.state("e1"));
             now = membership.due(silent);
             assertEquals(now - silent, membership.comeBack(silent), "when to come back is when it is asked next");
             pauses.add((now - silent) / MS);
@@ -233,11 +233,11 @@
                 assertEquals(state, state.after(seen, false));
             }
         }
-        for (State state : Set.of(State.RESTORED, State.ILL)) {
+        for (State state : Set.of(State.RESTORED, State.UNHEALTHY)) {
             assertEquals(State.ALIVE, state.after(Evidence.PROBE_ANSWERED, true));
             assertEquals(State.RESTORED, state.after(Evidence.PROBE_ANSWERED, false));
-            assertEquals(State.ILL, state.after(Evidence.SILENCE, true));
-            assertEquals(State.ILL, state.after(Evidence.REFUSED, false));
+            assertEquals(State.UNHEALTHY, state.after(Evidence.SILENCE, true));
+            assertEquals(State.UNHEALTHY, state.after(Evidence.REFUSED, false));
             assertEquals(State.MISTAKEN, state.after(Evidence.UNREADABLE, true));
         }
         assertEquals(State.MISTAKEN, State.MISTAKEN.after(Evidence.SILENCE, false));
@@ -245,7 +245,7 @@
         for (State state : Set.of(State.ALIVE, State.WARM)) {
             assertEquals(state, state.after(Evidence.WORK_SERVED, true));
             assertEquals(State.ALIVE, state.after(Evidence.RESET, true));
-            assertEquals(State.ILL, state.after(Evidence.RESET, false));
+            assertEquals(State.UNHEALTHY, state.after(Evidence.RESET, false));
         }
     }
 }
