--- a/src/main/java/cairnline/membership/Trust.java
+++ b/src/main/java/cairnline/membership/Trust.java
@@ -19,7 +19,7 @@
 
     /** Of an entry last confirmed so long ago; it halves with every half-life. {@code fresh} lies between 0 and 1. */
     static Trust aged(double fresh, long age, long halfLife, State last) {
-        double once = last == State.UNHEALTHY ? ONCE_ILL : last == State.MISTAKEN ? ONCE_MISTAKEN : 1;
+        double once = last == State.UNHEALTHY ? ONCE_ILL : last == State.MISIDENTIFIED ? ONCE_MISTAKEN : 1;
         double probability = fresh * once * Math.pow(2, -(double) Math.max(0, age) / halfLife);
         return new Trust(Math.log(probability / (1 - probability)));
     }
--- a/src/test/java/cairnline/membership/MembershipTest.java
+++ b/src/test/java/cairnline/membership/MembershipTest.java
@@ -163,9 +163,9 @@
     void whatIsNoEngineIsToldApartFromAnEngineThatSpoilsAnAnswer() {
         restore(kept("e1", State.CONFIRMED, 0), kept("e2", State.CONFIRMED, 0));
         membership.seen(NOW, "e1", Evidence.UNREADABLE);
-        assertEquals(State.MISTAKEN, membership.state("e1"));
+        assertEquals(State.MISIDENTIFIED, membership.state("e1"));
         membership.seen(NOW, "e1", Evidence.REFUSED);
-        assertEquals(State.MISTAKEN, membership.state("e1"), "it stays known as that");
+        assertEquals(State.MISIDENTIFIED, membership.state("e1"), "it stays known as that");
         membership.seen(NOW, "e2", Evidence.PROBE_ANSWERED);
         membership.seen(NOW, "e2", Evidence.WORK_SERVED);
         membership.seen(NOW, "e2", Evidence.WORK_SERVED);
@@ -238,10 +238,10 @@
             assertEquals(State.RESTORED, state.after(Evidence.PROBE_ANSWERED, false));
             assertEquals(State.UNHEALTHY, state.after(Evidence.SILENCE, true));
             assertEquals(State.UNHEALTHY, state.after(Evidence.REFUSED, false));
-            assertEquals(State.MISTAKEN, state.after(Evidence.UNREADABLE, true));
+            assertEquals(State.MISIDENTIFIED, state.after(Evidence.UNREADABLE, true));
         }
-        assertEquals(State.MISTAKEN, State.MISTAKEN.after(Evidence.SILENCE, false));
-        assertEquals(State.RESTORED, State.MISTAKEN.after(Evidence.PROBE_ANSWERED, false));
+        assertEquals(State.MISIDENTIFIED, State.MISIDENTIFIED.after(Evidence.SILENCE, false));
+        assertEquals(State.RESTORED, State.MISIDENTIFIED.after(Evidence.PROBE_ANSWERED, false));
         for (State state : Set.of(State.ALIVE, State.WARM)) {
             assertEquals(state, state.after(Evidence.WORK_SERVED, true));
             assertEquals(State.ALIVE, state.after(Evidence.RESET, true));
--- a/src/test/java/cairnline/program/DiscoveryTest.java
+++ b/src/test/java/cairnline/program/DiscoveryTest.java
@@ -212,7 +212,7 @@
         assertEquals(30, real.received().size());
         until(() -> silent.connects() > 0 && foreign.connects() > 0);
         assertEquals(0, manager.end());
-        assertEquals(Map.of("gone", State.UNHEALTHY, "silent", State.UNHEALTHY, "foreign", State.MISTAKEN, "real", State.ALIVE),
+        assertEquals(Map.of("gone", State.UNHEALTHY, "silent", State.UNHEALTHY, "foreign", State.MISIDENTIFIED, "real", State.ALIVE),
                 last(snapshots(0)));
     }
 
