--- a/src/main/java/cairnline/membership/Membership.java
+++ b/src/main/java/cairnline/membership/Membership.java
@@ -201,7 +201,7 @@
     }
 
     private int untold() {
-        return members.size() - count(State.CONFIRMED) - count(State.LEAVING);
+        return members.size() - count(State.CONFIRMED) - count(State.DRAINING);
     }
 
     private void put(Member m, long now) {
--- a/src/test/java/cairnline/membership/MembershipTest.java
+++ b/src/test/java/cairnline/membership/MembershipTest.java
@@ -27,7 +27,7 @@
     }
 
     private static StoredEngine kept(String id, State last, long age) {
-        Listed listed = last == State.LEAVING ? Listed.DRAINING : last == State.GONE ? Listed.GONE : Listed.READY;
+        Listed listed = last == State.DRAINING ? Listed.DRAINING : last == State.GONE ? Listed.GONE : Listed.READY;
         return new StoredEngine(engine(id, listed), last, NOW - age, 0);
     }
 
@@ -149,7 +149,7 @@
 
     @Test
     void whatEndedOrDrainedGetsNothingHoweverOldAndWhateverItAnswers() {
-        restore(kept("e1", State.LEAVING, 1_000 * settings.halfLife()), kept("e2", State.GONE, 0));
+        restore(kept("e1", State.DRAINING, 1_000 * settings.halfLife()), kept("e2", State.GONE, 0));
         assertNull(membership.state("e2"));
         assertTrue(asked(NOW).isEmpty());
         for (int i = 0; i < 10; i++) {
@@ -194,7 +194,7 @@
         membership.told(NOW + MS, true, List.of(engine("e1", Listed.READY), engine("e2", Listed.DRAINING)));
         assertEquals(State.CONFIRMED, membership.state("e1"));
         assertEquals(0, membership.offer(engine("e1", Listed.READY)).startedAt(), "the feed knows since when it runs");
-        assertEquals(State.LEAVING, membership.state("e2"));
+        assertEquals(State.DRAINING, membership.state("e2"));
         assertNull(membership.state("e3"));
         assertTrue(membership.takeUrgent());
         assertTrue(asked(NOW + SECOND).isEmpty());
@@ -221,13 +221,13 @@
         assertTrue(!membership.takeUrgent());
         membership.told(NOW, false, List.of(engine("e1", Listed.DRAINING)));
         assertTrue(membership.takeUrgent());
-        assertEquals(State.LEAVING, membership.view(NOW).remembered().get(0).last());
+        assertEquals(State.DRAINING, membership.view(NOW).remembered().get(0).last());
     }
 
     /** Each state, what may come, and where it leads: the drawing in docs/membership.md, as a table. */
     @Test
     void theStateMachineIsAsDrawn() {
-        for (State state : Set.of(State.CONFIRMED, State.LEAVING, State.GONE)) {
+        for (State state : Set.of(State.CONFIRMED, State.DRAINING, State.GONE)) {
             for (Evidence seen : Evidence.values()) {
                 assertEquals(state, state.after(seen, true));
                 assertEquals(state, state.after(seen, false));
--- a/src/test/java/cairnline/program/DiscoveryTest.java
+++ b/src/test/java/cairnline/program/DiscoveryTest.java
@@ -83,7 +83,7 @@
     }
 
     private static StoredEngine kept(String id, String address, State last, long age) {
-        Listed listed = last == State.LEAVING ? Listed.DRAINING : Listed.READY;
+        Listed listed = last == State.DRAINING ? Listed.DRAINING : Listed.READY;
         return new StoredEngine(new ListedEngine(id, address, listed, "dc1", "std16", 0, 4, 0), last, unixMicros() - age, 0);
     }
 
@@ -193,7 +193,7 @@
     void whatWasDrainingWhenTheListWasKeptGetsNothing() throws Exception {
         StandInRespEngine leaving = engine();
         StandInRespEngine stays = engine();
-        ToyClient client = client(manager(kept("e1", leaving.address(), State.LEAVING, YEAR), kept("e2", stays)));
+        ToyClient client = client(manager(kept("e1", leaving.address(), State.DRAINING, YEAR), kept("e2", stays)));
         served(client, 20);
         assertEquals(List.of(), leaving.received());
     }
