--- a/src/main/java/cairnline/membership/Membership.java
+++ b/src/main/java/cairnline/membership/Membership.java
@@ -43,7 +43,7 @@
         List<ListedEngine> offers = new ArrayList<>();
         for (StoredEngine each : kept) {
             Member member = Member.remembered(each, now, settings);
-            if (!heard && member.state() != State.GONE && !members.containsKey(member.engine().id())) {
+            if (!heard && member.state() != State.REMOVED && !members.containsKey(member.engine().id())) {
                 put(member, now);
                 offers.add(member.offer());
             }
--- a/src/test/java/cairnline/membership/MembershipTest.java
+++ b/src/test/java/cairnline/membership/MembershipTest.java
@@ -27,7 +27,7 @@
     }
 
     private static StoredEngine kept(String id, State last, long age) {
-        Listed listed = last == State.DRAINING ? Listed.DRAINING : last == State.GONE ? Listed.GONE : Listed.READY;
+        Listed listed = last == State.DRAINING ? Listed.DRAINING : last == State.REMOVED ? Listed.GONE : Listed.READY;
         return new StoredEngine(engine(id, listed), last, NOW - age, 0);
     }
 
@@ -149,7 +149,7 @@
 
     @Test
     void whatEndedOrDrainedGetsNothingHoweverOldAndWhateverItAnswers() {
-        restore(kept("e1", State.DRAINING, 1_000 * settings.halfLife()), kept("e2", State.GONE, 0));
+        restore(kept("e1", State.DRAINING, 1_000 * settings.halfLife()), kept("e2", State.REMOVED, 0));
         assertNull(membership.state("e2"));
         assertTrue(asked(NOW).isEmpty());
         for (int i = 0; i < 10; i++) {
@@ -227,7 +227,7 @@
     /** Each state, what may come, and where it leads: the drawing in docs/membership.md, as a table. */
     @Test
     void theStateMachineIsAsDrawn() {
-        for (State state : Set.of(State.CONFIRMED, State.DRAINING, State.GONE)) {
+        for (State state : Set.of(State.CONFIRMED, State.DRAINING, State.REMOVED)) {
             for (Evidence seen : Evidence.values()) {
                 assertEquals(state, state.after(seen, true));
                 assertEquals(state, state.after(seen, false));
