--- a/src/main/java/cairnline/membership/Evidence.java
+++ b/src/main/java/cairnline/membership/Evidence.java
@@ -9,7 +9,7 @@
     /** It answered a probe as an engine does. */
     PROBE_ANSWERED(2.5),
     /** It answered a request: served, full or in error, but in an engine's words. */
-    WORK_SERVED(3),
+    REQUEST_SERVED(3),
     /** Its address refused a connection: no process listens there. */
     REFUSED(-3),
     /** It said nothing: no connection came up, or none of what was due on one. */
--- a/src/main/java/cairnline/routing/Dispatcher.java
+++ b/src/main/java/cairnline/routing/Dispatcher.java
@@ -337,7 +337,7 @@
             engines.attemptEnded(ended.engine);
         }
         if (result.end() == End.OK || result.end() == End.FULL || result.end() == End.ERROR) {
-            seen(a.engine(), Evidence.WORK_SERVED);
+            seen(a.engine(), Evidence.REQUEST_SERVED);
         }
         if (result.end() == End.OK) {
             answer(o, Answer.served(result.rows()));
--- a/src/test/java/cairnline/membership/MembershipTest.java
+++ b/src/test/java/cairnline/membership/MembershipTest.java
@@ -69,7 +69,7 @@
         assertEquals(Listed.READY, offer.listed());
         assertEquals(NOW + 3 * MS, offer.startedAt(), "it may be as cold as one that started when it was first seen");
         assertTrue(!offer.sure(), "and may be the last to warm up");
-        assertNull(membership.seen(NOW + 4 * MS, "e1", Evidence.WORK_SERVED), "nothing new to tell the module");
+        assertNull(membership.seen(NOW + 4 * MS, "e1", Evidence.REQUEST_SERVED), "nothing new to tell the module");
         assertTrue(membership.turn(NOW + 3 * MS + WARM).isEmpty());
         assertEquals(State.WARM, membership.state("e1"));
     }
@@ -153,7 +153,7 @@
         assertNull(membership.state("e2"));
         assertTrue(asked(NOW).isEmpty());
         for (int i = 0; i < 10; i++) {
-            assertNull(membership.seen(NOW + i, "e1", Evidence.WORK_SERVED));
+            assertNull(membership.seen(NOW + i, "e1", Evidence.REQUEST_SERVED));
         }
         assertEquals(Listed.DRAINING, offered("e1"));
         assertEquals(settings.advice(), membership.comeBack(NOW), "nothing can be offered");
@@ -167,8 +167,8 @@
         membership.seen(NOW, "e1", Evidence.REFUSED);
         assertEquals(State.MISIDENTIFIED, membership.state("e1"), "it stays known as that");
         membership.seen(NOW, "e2", Evidence.PROBE_ANSWERED);
-        membership.seen(NOW, "e2", Evidence.WORK_SERVED);
-        membership.seen(NOW, "e2", Evidence.WORK_SERVED);
+        membership.seen(NOW, "e2", Evidence.REQUEST_SERVED);
+        membership.seen(NOW, "e2", Evidence.REQUEST_SERVED);
         membership.seen(NOW, "e2", Evidence.UNREADABLE);
         assertEquals(State.ALIVE, membership.state("e2"));
     }
@@ -217,7 +217,7 @@
     void aDrainIsUrgentToKeepAndAServedRequestIsNot() {
         membership.told(NOW, true, List.of(engine("e1", Listed.READY)));
         assertTrue(membership.takeUrgent());
-        membership.seen(NOW, "e1", Evidence.WORK_SERVED);
+        membership.seen(NOW, "e1", Evidence.REQUEST_SERVED);
         assertTrue(!membership.takeUrgent());
         membership.told(NOW, false, List.of(engine("e1", Listed.DRAINING)));
         assertTrue(membership.takeUrgent());
@@ -243,7 +243,7 @@
         assertEquals(State.MISIDENTIFIED, State.MISIDENTIFIED.after(Evidence.SILENCE, false));
         assertEquals(State.RESTORED, State.MISIDENTIFIED.after(Evidence.PROBE_ANSWERED, false));
         for (State state : Set.of(State.ALIVE, State.WARM)) {
-            assertEquals(state, state.after(Evidence.WORK_SERVED, true));
+            assertEquals(state, state.after(Evidence.REQUEST_SERVED, true));
             assertEquals(State.ALIVE, state.after(Evidence.RESET, true));
             assertEquals(State.UNHEALTHY, state.after(Evidence.RESET, false));
         }
