--- a/src/main/java/cairnline/membership/Membership.java
+++ b/src/main/java/cairnline/membership/Membership.java
@@ -119,7 +119,7 @@
     public List<ListedEngine> turn(long now) {
         List<ListedEngine> offers = new ArrayList<>(0);
         for (String id = probes.silent(now); id != null; id = probes.silent(now)) {
-            ListedEngine offer = seen(now, id, Evidence.SILENCE);
+            ListedEngine offer = seen(now, id, Evidence.NO_ANSWER);
             if (offer != null) {
                 offers.add(offer);
             }
--- a/src/main/java/cairnline/transport/RespConnection.java
+++ b/src/main/java/cairnline/transport/RespConnection.java
@@ -397,7 +397,7 @@
         long still = now - Math.max(askedAt, heardAt);
         boolean idle = exchanges.isEmpty() && probes.isEmpty();
         if (answers.partial() || !idle && still >= limits.engines().silence()) {
-            seen = Evidence.SILENCE;
+            seen = Evidence.NO_ANSWER;
         }
         over |= answers.partial() || still >= (idle ? limits.engines().idle() : limits.engines().silence());
         return !over;
--- a/src/main/java/cairnline/transport/UnreachableCause.java
+++ b/src/main/java/cairnline/transport/UnreachableCause.java
@@ -11,7 +11,7 @@
     /** Its address refused the connection. */
     REFUSED(Evidence.REFUSED),
     /** Nothing came back in time, or nothing leads there. */
-    SILENT(Evidence.SILENCE),
+    SILENT(Evidence.NO_ANSWER),
     /** This system had no socket, port or memory for it, which tells nothing of the engine. */
     LOCAL(null);
 
--- a/src/test/java/cairnline/membership/MembershipTest.java
+++ b/src/test/java/cairnline/membership/MembershipTest.java
@@ -236,11 +236,11 @@
         for (State state : Set.of(State.RESTORED, State.UNHEALTHY)) {
             assertEquals(State.ALIVE, state.after(Evidence.PROBE_ANSWERED, true));
             assertEquals(State.RESTORED, state.after(Evidence.PROBE_ANSWERED, false));
-            assertEquals(State.UNHEALTHY, state.after(Evidence.SILENCE, true));
+            assertEquals(State.UNHEALTHY, state.after(Evidence.NO_ANSWER, true));
             assertEquals(State.UNHEALTHY, state.after(Evidence.REFUSED, false));
             assertEquals(State.MISIDENTIFIED, state.after(Evidence.UNREADABLE, true));
         }
-        assertEquals(State.MISIDENTIFIED, State.MISIDENTIFIED.after(Evidence.SILENCE, false));
+        assertEquals(State.MISIDENTIFIED, State.MISIDENTIFIED.after(Evidence.NO_ANSWER, false));
         assertEquals(State.RESTORED, State.MISIDENTIFIED.after(Evidence.PROBE_ANSWERED, false));
         for (State state : Set.of(State.ALIVE, State.WARM)) {
             assertEquals(state, state.after(Evidence.REQUEST_SERVED, true));
