--- a/src/main/java/cairnline/membership/State.java
+++ b/src/main/java/cairnline/membership/State.java
@@ -44,7 +44,7 @@
     State after(Evidence seen, boolean believed) {
         return switch (this) {
             case TOLD, LEAVING, GONE -> this;
-            case REMEMBERED, ILL, MISTAKEN -> seen == Evidence.UNREADABLE ? MISTAKEN
+            case REMEMBERED, ILL, MISTAKEN -> seen == Evidence.MALFORMED ? MISTAKEN
                     : !seen.isGood() ? this == MISTAKEN ? MISTAKEN : ILL : believed ? ALIVE : REMEMBERED;
             // An engine that was seen to be one may still spoil an answer: that is no mistake about what it is.
             case ALIVE, PROVEN -> seen.isGood() ? this : believed ? ALIVE : ILL;
--- a/src/main/java/cairnline/transport/RespConnection.java
+++ b/src/main/java/cairnline/transport/RespConnection.java
@@ -281,7 +281,7 @@
             // What follows can't be told apart any more; the end of the connection ends what is out on it.
             synchronized (this) {
                 over = true;
-                seen = Evidence.UNREADABLE;
+                seen = Evidence.MALFORMED;
             }
             close();
         }
--- a/src/test/java/cairnline/membership/MembershipTest.java
+++ b/src/test/java/cairnline/membership/MembershipTest.java
@@ -162,14 +162,14 @@
     @Test
     void whatIsNoEngineIsToldApartFromAnEngineThatSpoilsAnAnswer() {
         restore(kept("e1", State.CONFIRMED, 0), kept("e2", State.CONFIRMED, 0));
-        membership.seen(NOW, "e1", Evidence.UNREADABLE);
+        membership.seen(NOW, "e1", Evidence.MALFORMED);
         assertEquals(State.MISIDENTIFIED, membership.state("e1"));
         membership.seen(NOW, "e1", Evidence.REFUSED);
         assertEquals(State.MISIDENTIFIED, membership.state("e1"), "it stays known as that");
         membership.seen(NOW, "e2", Evidence.PROBE_ANSWERED);
         membership.seen(NOW, "e2", Evidence.REQUEST_SERVED);
         membership.seen(NOW, "e2", Evidence.REQUEST_SERVED);
-        membership.seen(NOW, "e2", Evidence.UNREADABLE);
+        membership.seen(NOW, "e2", Evidence.MALFORMED);
         assertEquals(State.ALIVE, membership.state("e2"));
     }
 
@@ -238,7 +238,7 @@
             assertEquals(State.RESTORED, state.after(Evidence.PROBE_ANSWERED, false));
             assertEquals(State.UNHEALTHY, state.after(Evidence.NO_ANSWER, true));
             assertEquals(State.UNHEALTHY, state.after(Evidence.REFUSED, false));
-            assertEquals(State.MISIDENTIFIED, state.after(Evidence.UNREADABLE, true));
+            assertEquals(State.MISIDENTIFIED, state.after(Evidence.MALFORMED, true));
         }
         assertEquals(State.MISIDENTIFIED, State.MISIDENTIFIED.after(Evidence.NO_ANSWER, false));
         assertEquals(State.RESTORED, State.MISIDENTIFIED.after(Evidence.PROBE_ANSWERED, false));
