--- a/src/main/java/cairnline/transport/UnreachableCause.java
+++ b/src/main/java/cairnline/transport/UnreachableCause.java
@@ -9,7 +9,7 @@
 /** Why a connection did not come up, and what that tells of the engine. */
 enum UnreachableCause {
     /** Its address refused the connection. */
-    REFUSED(Evidence.REFUSED),
+    REFUSED(Evidence.CONNECTION_REFUSED),
     /** Nothing came back in time, or nothing leads there. */
     SILENT(Evidence.NO_ANSWER),
     /** This system had no socket, port or memory for it, which tells nothing of the engine. */
--- a/src/test/java/cairnline/membership/MembershipTest.java
+++ b/src/test/java/cairnline/membership/MembershipTest.java
@@ -119,8 +119,8 @@
         }
         assertNull(each.probe(NOW));
         // One of them ends: the next in line is asked.
-        each.seen(NOW + MS, "e1", Evidence.REFUSED);
-        each.seen(NOW + MS, "e1", Evidence.REFUSED);
+        each.seen(NOW + MS, "e1", Evidence.CONNECTION_REFUSED);
+        each.seen(NOW + MS, "e1", Evidence.CONNECTION_REFUSED);
         assertEquals("e3", each.probe(NOW + MS));
     }
 
@@ -164,7 +164,7 @@
         restore(kept("e1", State.CONFIRMED, 0), kept("e2", State.CONFIRMED, 0));
         membership.seen(NOW, "e1", Evidence.MALFORMED);
         assertEquals(State.MISIDENTIFIED, membership.state("e1"));
-        membership.seen(NOW, "e1", Evidence.REFUSED);
+        membership.seen(NOW, "e1", Evidence.CONNECTION_REFUSED);
         assertEquals(State.MISIDENTIFIED, membership.state("e1"), "it stays known as that");
         membership.seen(NOW, "e2", Evidence.PROBE_ANSWERED);
         membership.seen(NOW, "e2", Evidence.REQUEST_SERVED);
@@ -237,7 +237,7 @@
             assertEquals(State.ALIVE, state.after(Evidence.PROBE_ANSWERED, true));
             assertEquals(State.RESTORED, state.after(Evidence.PROBE_ANSWERED, false));
             assertEquals(State.UNHEALTHY, state.after(Evidence.NO_ANSWER, true));
-            assertEquals(State.UNHEALTHY, state.after(Evidence.REFUSED, false));
+            assertEquals(State.UNHEALTHY, state.after(Evidence.CONNECTION_REFUSED, false));
             assertEquals(State.MISIDENTIFIED, state.after(Evidence.MALFORMED, true));
         }
         assertEquals(State.MISIDENTIFIED, State.MISIDENTIFIED.after(Evidence.NO_ANSWER, false));
