--- a/src/main/java/cairnline/transport/RespConnection.java
+++ b/src/main/java/cairnline/transport/RespConnection.java
@@ -411,7 +411,7 @@
         synchronized (this) {
             over = true;
             boolean broken = wasUp && !closedHere && !(exchanges.isEmpty() && probes.isEmpty());
-            told = seen == null && broken ? Evidence.RESET : seen;
+            told = seen == null && broken ? Evidence.CONNECTION_RESET : seen;
             out = new ArrayList<>(exchanges.values());
             asked = new ArrayList<>(probes.values());
             exchanges.clear();
--- a/src/test/java/cairnline/membership/MembershipTest.java
+++ b/src/test/java/cairnline/membership/MembershipTest.java
@@ -179,7 +179,7 @@
         membership.seen(NOW, "e1", Evidence.PROBE_ANSWERED);
         membership.turn(NOW + WARM);
         assertEquals(State.WARM, membership.state("e1"));
-        ListedEngine offer = membership.seen(NOW + WARM + 7, "e1", Evidence.RESET);
+        ListedEngine offer = membership.seen(NOW + WARM + 7, "e1", Evidence.CONNECTION_RESET);
         assertNotNull(offer);
         assertEquals(NOW + WARM + 7, offer.startedAt());
         assertEquals(State.ALIVE, membership.state("e1"));
@@ -244,8 +244,8 @@
         assertEquals(State.RESTORED, State.MISIDENTIFIED.after(Evidence.PROBE_ANSWERED, false));
         for (State state : Set.of(State.ALIVE, State.WARM)) {
             assertEquals(state, state.after(Evidence.REQUEST_SERVED, true));
-            assertEquals(State.ALIVE, state.after(Evidence.RESET, true));
-            assertEquals(State.UNHEALTHY, state.after(Evidence.RESET, false));
+            assertEquals(State.ALIVE, state.after(Evidence.CONNECTION_RESET, true));
+            assertEquals(State.UNHEALTHY, state.after(Evidence.CONNECTION_RESET, false));
         }
     }
 }
