--- a/src/test/java/cairnline/program/DiscoveryTest.java
+++ b/src/test/java/cairnline/program/DiscoveryTest.java
@@ -140,7 +140,7 @@
         try (Stream<Path> files = Files.list(snapshots)) {
             Path newest = files.filter(f -> f.toString().endsWith(".snap")).sorted().reduce((a, b) -> b).orElseThrow();
             return SnapshotCodec.decode(Files.readAllBytes(newest)).engines().stream()
-                    .collect(Collectors.toMap(each -> each.engine().id(), StoredEngine::last));
+                    .collect(Collectors.toMap(each -> each.engine().id(), StoredEngine::lastState));
         }
     }
 
