--- a/src/main/java/cairnline/membership/Member.java
+++ b/src/main/java/cairnline/membership/Member.java
@@ -9,12 +9,12 @@
  * @param engine as listed
  * @param state what is believed of it
  * @param trust how far, as long as the feed has not told
- * @param toldAt when the feed told of it; 0 before it has in this run or any before
+ * @param reportedAt when the feed told of it; 0 before it has in this run or any before
  * @param aliveAt when it was last seen alive, to within {@link #FINENESS}; 0 for never
  * @param aliveSince since when it has been seen alive without a break in this run; 0 if it is not
  * @param because the newest evidence; null if there is none of this run
  */
-record Member(ListedEngine engine, State state, Trust trust, long toldAt, long aliveAt, long aliveSince,
+record Member(ListedEngine engine, State state, Trust trust, long reportedAt, long aliveAt, long aliveSince,
               Evidence because) {
     /** Being alive is noted this often, so that served work does not make garbage. */
     static final long FINENESS = 1_000_000;
@@ -29,7 +29,7 @@
         long age = Math.abs(now - r.confirmedAt());
         ListedEngine engine = r.engine().startedAt() > now ? r.engine().startedAt(now) : r.engine();
         return new Member(engine, State.remembered(r.last()),
-                Trust.aged(settings.fresh(), age, settings.halfLife(), r.last()), r.toldAt(), r.aliveAt(), 0, null);
+                Trust.aged(settings.fresh(), age, settings.halfLife(), r.last()), r.reportedAt(), r.aliveAt(), 0, null);
     }
 
     Member seen(Evidence evidence, long now) {
@@ -42,20 +42,20 @@
         // What ends a connection may have ended the engine: it may be cold once more.
         boolean anew = !evidence.isGood() || state.isWatched();
         long since = !alive ? 0 : anew || aliveSince == 0 ? now : aliveSince;
-        return new Member(engine, next, moved, toldAt, evidence.isGood() ? now : aliveAt, since, evidence);
+        return new Member(engine, next, moved, reportedAt, evidence.isGood() ? now : aliveAt, since, evidence);
     }
 
     Member at(long now, long warmWithin) {
         State next = aliveSince == 0 ? state : state.afterAlive(now - aliveSince, warmWithin);
-        return next == state ? this : new Member(engine, next, trust, toldAt, aliveAt, aliveSince, because);
+        return next == state ? this : new Member(engine, next, trust, reportedAt, aliveAt, aliveSince, because);
     }
 
     Member gone() {
-        return new Member(engine.as(Listed.GONE), State.REMOVED, trust, toldAt, aliveAt, 0, because);
+        return new Member(engine.as(Listed.GONE), State.REMOVED, trust, reportedAt, aliveAt, 0, because);
     }
 
     StoredEngine remembered() {
-        return new StoredEngine(engine, state, toldAt, aliveAt);
+        return new StoredEngine(engine, state, reportedAt, aliveAt);
     }
 
     /**
--- a/src/main/java/cairnline/membership/Probes.java
+++ b/src/main/java/cairnline/membership/Probes.java
@@ -50,7 +50,7 @@
         if (w.silentAt == 0) {
             take(w);
             w.trust = member.trust().nats();
-            w.confirmedAt = Math.max(member.toldAt(), member.aliveAt());
+            w.confirmedAt = Math.max(member.reportedAt(), member.aliveAt());
             put(w);
         }
     }
--- a/src/main/java/cairnline/membership/StoredEngine.java
+++ b/src/main/java/cairnline/membership/StoredEngine.java
@@ -5,12 +5,12 @@
  *
  * @param engine as the feed last listed it
  * @param last what was believed of it when this was written
- * @param toldAt when the feed last told of it
+ * @param reportedAt when the feed last told of it
  * @param aliveAt when it was last seen alive, to within a second; 0 for never
  */
-public record StoredEngine(ListedEngine engine, State last, long toldAt, long aliveAt) {
+public record StoredEngine(ListedEngine engine, State last, long reportedAt, long aliveAt) {
     /** When this was last confirmed, by the feed or by what was seen. */
     public long confirmedAt() {
-        return Math.max(toldAt, aliveAt);
+        return Math.max(reportedAt, aliveAt);
     }
 }
--- a/src/main/java/cairnline/program/ListCommand.java
+++ b/src/main/java/cairnline/program/ListCommand.java
@@ -35,7 +35,7 @@
         for (StoredEngine each : kept.engines()) {
             ListedEngine e = each.engine();
             System.out.printf(Locale.ROOT, "%-24s %-22s %-10s %-10s %-11s %-25s %s%n", e.id(), e.address(), e.zone(),
-                    e.kind(), each.lastState().printedName(), time(each.toldAt()), time(each.aliveAt()));
+                    e.kind(), each.lastState().printedName(), time(each.reportedAt()), time(each.aliveAt()));
         }
         return 0;
     }
--- a/src/main/java/cairnline/store/SnapshotCodec.java
+++ b/src/main/java/cairnline/store/SnapshotCodec.java
@@ -78,7 +78,7 @@
         ListedEngine e = each.engine();
         out.put((byte) e.listed().ordinal()).put((byte) each.lastState().ordinal());
         out.putInt(e.cell()).putDouble(e.size());
-        out.putLong(e.startedAt()).putLong(each.toldAt()).putLong(each.aliveAt());
+        out.putLong(e.startedAt()).putLong(each.reportedAt()).putLong(each.aliveAt());
     }
 
     /** Decodes a whole file; never returns what was not written so. */
