--- a/src/main/java/cairnline/program/MeasureDiscovery.java
+++ b/src/main/java/cairnline/program/MeasureDiscovery.java
@@ -91,7 +91,7 @@
                 MembershipView view = membership.view(i);
                 taken.add((System.nanoTime() - start) / 1e6);
                 start = System.nanoTime();
-                byte[] bytes = SnapshotCodec.encode(new Snapshot(1, view.remembered()));
+                byte[] bytes = SnapshotCodec.encode(new Snapshot(1, view.storedEngines()));
                 Path file = folder.resolve("one.snap");
                 try (var channel = java.nio.channels.FileChannel.open(file, java.nio.file.StandardOpenOption.CREATE,
                         java.nio.file.StandardOpenOption.WRITE, java.nio.file.StandardOpenOption.TRUNCATE_EXISTING)) {
--- a/src/main/java/cairnline/store/SnapshotKeeper.java
+++ b/src/main/java/cairnline/store/SnapshotKeeper.java
@@ -109,7 +109,7 @@
     /** Null if it is on the disk, else why not. */
     private String write(MembershipView view) {
         try {
-            folder.write(SnapshotCodec.encode(new Snapshot(view.takenAt(), view.remembered())));
+            folder.write(SnapshotCodec.encode(new Snapshot(view.takenAt(), view.storedEngines())));
             return null;
         } catch (IOException | RuntimeException | OutOfMemoryError e) {
             return String.valueOf(e);
