--- a/src/main/java/cairnline/program/MeasureDiscovery.java
+++ b/src/main/java/cairnline/program/MeasureDiscovery.java
@@ -82,7 +82,7 @@
     private void snapshots() throws IOException, SnapshotException {
         for (int engines : new int[] {10, 1_000, 10_000}) {
             Membership membership = new Membership(TrustSettings.usual(15 * SECOND));
-            membership.told(1, true, listed(engines));
+            membership.applyUpdate(1, true, listed(engines));
             List<Double> taken = new ArrayList<>();
             List<Double> written = new ArrayList<>();
             List<Double> read = new ArrayList<>();
--- a/src/test/java/cairnline/store/SnapshotFolderTest.java
+++ b/src/test/java/cairnline/store/SnapshotFolderTest.java
@@ -265,7 +265,7 @@
 
     private static Membership listed() {
         Membership membership = new Membership(TrustSettings.usual(1));
-        membership.told(NOW, true, List.of(new ListedEngine("e1", "127.0.0.1:1", Listed.READY, "z", "k", 0, 1, 0)));
+        membership.applyUpdate(NOW, true, List.of(new ListedEngine("e1", "127.0.0.1:1", Listed.READY, "z", "k", 0, 1, 0)));
         return membership;
     }
 
