--- a/src/main/java/cairnline/program/MeasureDiscovery.java
+++ b/src/main/java/cairnline/program/MeasureDiscovery.java
@@ -81,7 +81,7 @@
     /** The first of each is what a start pays: nothing is compiled yet. */
     private void snapshots() throws IOException, SnapshotException {
         for (int engines : new int[] {10, 1_000, 10_000}) {
-            Membership membership = new Membership(TrustSettings.usual(15 * SECOND));
+            Membership membership = new Membership(TrustSettings.defaults(15 * SECOND));
             membership.applyUpdate(1, true, listed(engines));
             List<Double> taken = new ArrayList<>();
             List<Double> written = new ArrayList<>();
--- a/src/main/java/cairnline/routing/Dispatcher.java
+++ b/src/main/java/cairnline/routing/Dispatcher.java
@@ -65,7 +65,7 @@
     public Dispatcher(Settings settings, long seed, Limits limits, Clock clock, Consumer<String> log,
                 BiFunction<ListedEngine, Dispatcher, EngineLink> links) {
         this(settings, seed, limits, clock, log, links,
-                TrustSettings.usual(Clock.fromModule(settings.rules().warmWithin())), EngineListStore.NONE, RequestTrace.OFF);
+                TrustSettings.defaults(Clock.fromModule(settings.rules().warmWithin())), EngineListStore.NONE, RequestTrace.OFF);
     }
 
     /** A core that does not run yet; {@code links} opens the way to an engine, {@code keeper} is shown the list. */
--- a/src/test/java/cairnline/membership/MembershipTest.java
+++ b/src/test/java/cairnline/membership/MembershipTest.java
@@ -19,7 +19,7 @@
     private static final long NOW = 1_000_000 * HOUR;
     private static final long WARM = 15 * SECOND;
 
-    private final TrustSettings settings = TrustSettings.usual(WARM);
+    private final TrustSettings settings = TrustSettings.defaults(WARM);
     private final Membership membership = new Membership(settings);
 
     private static ListedEngine engine(String id, Listed listed) {
--- a/src/test/java/cairnline/store/SnapshotFolderTest.java
+++ b/src/test/java/cairnline/store/SnapshotFolderTest.java
@@ -264,7 +264,7 @@
     }
 
     private static Membership listed() {
-        Membership membership = new Membership(TrustSettings.usual(1));
+        Membership membership = new Membership(TrustSettings.defaults(1));
         membership.applyUpdate(NOW, true, List.of(new ListedEngine("e1", "127.0.0.1:1", Listed.READY, "z", "k", 0, 1, 0)));
         return membership;
     }
