--- a/src/main/java/cairnline/store/SnapshotKeeper.java
+++ b/src/main/java/cairnline/store/SnapshotKeeper.java
@@ -43,7 +43,7 @@
     }
 
     @Override
-    public void keep(MembershipView view, boolean urgent) {
+    public void save(MembershipView view, boolean urgent) {
         lock.lock();
         try {
             pending = view;
--- a/src/test/java/cairnline/store/SnapshotFolderTest.java
+++ b/src/test/java/cairnline/store/SnapshotFolderTest.java
@@ -276,7 +276,7 @@
         SnapshotKeeper keeper = new SnapshotKeeper(new SnapshotFolder(blocked, quick, told), quick, told,
                 () -> System.nanoTime() / 1_000);
         keeper.start();
-        keeper.keep(listed().view(NOW), true);
+        keeper.save(listed().view(NOW), true);
         told.await("snapshot.failed");
         Files.delete(blocked);
         told.await("snapshot.kept.again");
@@ -292,7 +292,7 @@
         Membership membership = listed();
         keeper.start();
         for (int i = 0; i < 1_000; i++) {
-            keeper.keep(membership.view(NOW + i), i == 0 || i == 999);
+            keeper.save(membership.view(NOW + i), i == 0 || i == 999);
         }
         keeper.flush(10_000_000);
         assertTrue(generations().size() <= 2, "written: " + generations());
