--- a/src/main/java/cairnline/store/SnapshotKeeper.java
+++ b/src/main/java/cairnline/store/SnapshotKeeper.java
@@ -55,7 +55,7 @@
     }
 
     @Override
-    public long every() {
+    public long saveInterval() {
         return settings.every();
     }
 
