--- a/src/main/java/cairnline/transport/ClientSession.java
+++ b/src/main/java/cairnline/transport/ClientSession.java
@@ -244,7 +244,7 @@
             case ClientFrames.REQUEST -> request(frame, now);
             case ClientFrames.WITHDRAWN -> withdraw(frame.stream());
             case ClientFrames.READY_QUESTION ->
-                    peer.send(ClientFrames.ready(frame.stream(), front.core().ready()));
+                    peer.send(ClientFrames.ready(frame.stream(), front.core().isReady()));
             default -> throw new ProtocolException("type " + frame.type() + " is not a client's");
         }
     }
--- a/src/test/java/cairnline/program/FirstAskTest.java
+++ b/src/test/java/cairnline/program/FirstAskTest.java
@@ -65,7 +65,7 @@
 
     private static void untilReady(Dispatcher core) {
         long limit = System.nanoTime() + TimeUnit.SECONDS.toNanos(LIMIT_S);
-        while (!core.ready()) {
+        while (!core.isReady()) {
             assertTrue(System.nanoTime() < limit, "never ready");
             Thread.onSpinWait();
         }
@@ -77,7 +77,7 @@
             Dispatcher core = follow(new InetSocketAddress("127.0.0.1", feed.getLocalPort()),
                     limits(TimeUnit.HOURS.toMicros(1)));
             try (Socket follower = feed.accept()) {
-                assertFalse(core.ready(), "ready before the feed was asked");
+                assertFalse(core.isReady(), "ready before the feed was asked");
                 new BufferedReader(new InputStreamReader(follower.getInputStream(), StandardCharsets.US_ASCII)).readLine();
                 follower.getOutputStream().write("1\n".getBytes(StandardCharsets.US_ASCII));
                 untilReady(core);
