--- a/src/main/java/cairnline/program/Server.java
+++ b/src/main/java/cairnline/program/Server.java
@@ -62,7 +62,7 @@
                         log),
                 settings.trust(), keeper == null ? EngineListStore.NONE : keeper, settings.logRequests() ? this::trace : RequestTrace.OFF);
         // What the configuration knows is as old as the start takes: an engine may have begun to drain since.
-        core.awaitFeed();
+        core.requireFeed();
         list = new EngineListUpdates(core, limits, clock);
         feed = new FeedClient(configuration.feed(), list, limits, clock, wallClock, log);
         clients = new ClientFront(new Listener(configuration.listen(), limits.clients().connections(), limits, loop, log), core,
--- a/src/test/java/cairnline/program/FirstAskTest.java
+++ b/src/test/java/cairnline/program/FirstAskTest.java
@@ -54,7 +54,7 @@
     private Dispatcher follow(InetSocketAddress feed, Limits limits) {
         Dispatcher core = new Dispatcher(configuration.settings(), configuration.seed(), limits, clock, line -> { },
                 (engine, owner) -> null);
-        core.awaitFeed();
+        core.requireFeed();
         EngineListUpdates list = new EngineListUpdates(core, limits, clock);
         list.changed(1, true, List.of());
         core.start();
