--- a/src/main/java/cairnline/transport/ClientSession.java
+++ b/src/main/java/cairnline/transport/ClientSession.java
@@ -296,7 +296,7 @@
         synchronized (this) {
             open.put(stream, request);
         }
-        front.core().take(request);
+        front.core().submit(request);
     }
 
     private Request request(ClientRequest r, long stream, long now) {
--- a/src/main/java/cairnline/transport/ODataCall.java
+++ b/src/main/java/cairnline/transport/ODataCall.java
@@ -50,7 +50,7 @@
     }
 
     void start() {
-        front.core().take(request);
+        front.core().submit(request);
     }
 
     void detach() {
