--- a/src/main/java/cairnline/transport/HttpConnection.java
+++ b/src/main/java/cairnline/transport/HttpConnection.java
@@ -88,7 +88,7 @@
             }
         }
         if (!allowed) {
-            core.ended(next, Attempt.Result.of(End.NOT_SENT));
+            core.attemptEnded(next, Attempt.Result.of(End.NOT_SENT));
             return null;
         }
         return withHost(HttpMessage.of(next.request().statement()));
@@ -188,7 +188,7 @@
             over |= answer.closes();
         }
         if (ended != null) {
-            core.ended(ended, result);
+            core.attemptEnded(ended, result);
         }
         if (answer.closes()) {
             close();
@@ -217,7 +217,7 @@
         }
         if (lost != null) {
             End end = written ? End.RESET : wasUp ? End.NOT_SENT : End.CONNECT_FAILED;
-            core.ended(lost, Attempt.Result.of(end));
+            core.attemptEnded(lost, Attempt.Result.of(end));
         }
     }
 }
--- a/src/main/java/cairnline/transport/RespConnection.java
+++ b/src/main/java/cairnline/transport/RespConnection.java
@@ -184,7 +184,7 @@
             }
         }
         if (!allowed) {
-            core.ended(attempt, Attempt.Result.of(End.NOT_SENT));
+            core.attemptEnded(attempt, Attempt.Result.of(End.NOT_SENT));
             return null;
         }
         Map<String, String> fields = new LinkedHashMap<>();
@@ -379,7 +379,7 @@
                 undone.put(id, Boolean.TRUE);
             }
         }
-        core.ended(exchange.attempt, result);
+        core.attemptEnded(exchange.attempt, result);
     }
 
     @Override
@@ -427,7 +427,7 @@
         }
         for (Exchange exchange : out) {
             End end = exchange.written ? End.RESET : wasUp ? End.NOT_SENT : End.CONNECT_FAILED;
-            core.ended(exchange.attempt, Attempt.Result.of(end));
+            core.attemptEnded(exchange.attempt, Attempt.Result.of(end));
         }
         asked.forEach(probe -> probe.answer.accept(null));
     }
