--- a/src/main/java/cairnline/transport/RespConnection.java
+++ b/src/main/java/cairnline/transport/RespConnection.java
@@ -360,9 +360,9 @@
 
     private void note(Attempt attempt, EngineMessage message) {
         switch (message.note()) {
-            case "advance" -> core.noted(attempt, NoteKind.PROGRESS, message.amount());
-            case "disk" -> core.noted(attempt, NoteKind.SPILL, message.amount());
-            case "stall" -> core.noted(attempt,
+            case "advance" -> core.statusReceived(attempt, NoteKind.PROGRESS, message.amount());
+            case "disk" -> core.statusReceived(attempt, NoteKind.SPILL, message.amount());
+            case "stall" -> core.statusReceived(attempt,
                     message.amount() >= 2 ? NoteKind.WAITS_LOAD : NoteKind.WAITS_MEMORY, message.amount());
             default -> { }
         }
