--- a/src/main/java/cairnline/transport/RespConnection.java
+++ b/src/main/java/cairnline/transport/RespConnection.java
@@ -423,7 +423,7 @@
                             .collect(Collectors.joining(" ")));
         }
         if (told != null) {
-            core.witnessed(link.engine(), told);
+            core.evidenceObserved(link.engine(), told);
         }
         for (Exchange exchange : out) {
             End end = exchange.written ? End.RESET : wasUp ? End.NOT_SENT : End.CONNECT_FAILED;
