--- a/src/main/java/cairnline/program/ODataServer.java
+++ b/src/main/java/cairnline/program/ODataServer.java
@@ -37,7 +37,7 @@
         front = new ODataFront(listener, core, odata.model(), configuration.patience(), limits, log);
         feed = odata.feed() == null ? null : new FeedClient(odata.feed(), list, limits, clock, new WallClock(clock), log);
         if (!odata.engines().isEmpty()) {
-            core.listed(true, odata.engines());
+            core.listUpdated(true, odata.engines());
         }
     }
 
@@ -46,7 +46,7 @@
         if (feed != null && odata.feed() != null) {
             feed.follow(odata.feed());
         } else if (!odata.engines().isEmpty()) {
-            core.listed(true, odata.engines());
+            core.listUpdated(true, odata.engines());
         }
     }
 
--- a/src/test/java/cairnline/program/Scenario.java
+++ b/src/test/java/cairnline/program/Scenario.java
@@ -244,7 +244,7 @@
             case "gone" -> Listed.GONE;
             default -> Listed.READY;
         };
-        core.listed(false, List.of(new ListedEngine(at[0], "127.0.0.1:" + server.getLocalPort(), listed, "dc1",
+        core.listUpdated(false, List.of(new ListedEngine(at[0], "127.0.0.1:" + server.getLocalPort(), listed, "dc1",
                 "std16", 0, 1, 0)));
     }
 
