--- a/src/main/java/cairnline/program/Server.java
+++ b/src/main/java/cairnline/program/Server.java
@@ -85,7 +85,7 @@
         }
         Snapshot kept = folder.newest(clock.micros());
         if (kept != null) {
-            core.remembered(kept.engines());
+            core.restoreList(kept.engines());
             log.info("snapshot.restored", "starts from the kept list until the control feed tells", "engines",
                     kept.engines().size(), "ageMs", (clock.micros() - kept.savedAt()) / 1_000);
         }
