--- a/src/main/java/cairnline/program/ODataServer.java
+++ b/src/main/java/cairnline/program/ODataServer.java
@@ -62,7 +62,7 @@
     /** Ends as the platform's front does; {@code done} runs when all that was taken is answered. */
     void stop(Runnable done) {
         front.stopping();
-        core.stopping(done);
+        core.shutDown(done);
     }
 
     /** Ends its connections in order. */
--- a/src/main/java/cairnline/program/Server.java
+++ b/src/main/java/cairnline/program/Server.java
@@ -142,7 +142,7 @@
     private void stop() {
         CountDownLatch answered = new CountDownLatch(odata == null ? 1 : 2);
         clients.stopping();
-        core.stopping(answered::countDown);
+        core.shutDown(answered::countDown);
         if (odata != null) {
             odata.stop(answered::countDown);
         }
--- a/src/test/java/cairnline/program/Scenario.java
+++ b/src/test/java/cairnline/program/Scenario.java
@@ -223,7 +223,7 @@
     private void stopped() throws InterruptedException {
         CountDownLatch done = new CountDownLatch(1);
         wire.stopping();
-        core.stopping(done::countDown);
+        core.shutDown(done::countDown);
         assertTrue(done.await(LIMIT_S, TimeUnit.SECONDS), "something that was taken is still open");
     }
 
