--- a/src/main/java/cairnline/program/Server.java
+++ b/src/main/java/cairnline/program/Server.java
@@ -71,7 +71,7 @@
             remember(folder);
         }
         // As one event: its actor does not run yet, and its mailbox holds fewer than a long day has.
-        list.changed(configuration.knownLast(), true, configuration.known().stream().allMatch(e -> e.hosts() == null) ? null
+        list.submitUpdate(configuration.knownLast(), true, configuration.known().stream().allMatch(e -> e.hosts() == null) ? null
                 : FeedClient.entries(FeedEvent.standing(configuration.knownLast(), configuration.known()), wallClock));
         odata = settings.odata() == null ? null
                 : new ODataServer(configuration, settings.odata(), loop, log);
@@ -118,7 +118,7 @@
 
     private void tell(Configuration configuration) {
         configuration.known().forEach(event ->
-                list.changed(event.number(), event.whole(), FeedClient.entries(event, wallClock)));
+                list.submitUpdate(event.number(), event.whole(), FeedClient.entries(event, wallClock)));
     }
 
     /** Reads the configuration again, all of it before any of it counts; with a fault in it the old one stays. */
--- a/src/test/java/cairnline/program/FirstAskTest.java
+++ b/src/test/java/cairnline/program/FirstAskTest.java
@@ -56,7 +56,7 @@
                 (engine, owner) -> null);
         core.requireFeed();
         EngineListUpdates list = new EngineListUpdates(core, limits, clock);
-        list.changed(1, true, List.of());
+        list.submitUpdate(1, true, List.of());
         core.start();
         list.start();
         new FeedClient(feed, list, limits, clock, new WallClock(clock), new EventLog(EventLog.Format.TEXT, 16)).start();
