--- a/src/main/java/cairnline/transport/FeedClient.java
+++ b/src/main/java/cairnline/transport/FeedClient.java
@@ -64,7 +64,7 @@
             at = use(opened);
             try (opened) {
                 opened.connect(at, (int) Clock.toMillis(limits.feed().connect()));
-                opened.getOutputStream().write(("SUB " + list.last() + "\n").getBytes(StandardCharsets.US_ASCII));
+                opened.getOutputStream().write(("SUB " + list.lastNumber() + "\n").getBytes(StandardCharsets.US_ASCII));
                 read(opened, lost);
             } catch (IOException | RuntimeException e) {
                 // Also on what no reader foresees: without this thread the list would stand still for good.
