--- a/src/main/java/cairnline/transport/FeedClient.java
+++ b/src/main/java/cairnline/transport/FeedClient.java
@@ -81,7 +81,7 @@
     private void asked() {
         if (!asked) {
             asked = true;
-            list.asked();
+            list.firstReadDone();
         }
     }
 
