--- a/src/main/java/cairnline/routing/Actor.java
+++ b/src/main/java/cairnline/routing/Actor.java
@@ -33,7 +33,7 @@
         this.mailbox = new ArrayBlockingQueue<>(mailboxSize);
         this.clock = clock;
         this.turns = turns;
-        this.thread = new Thread(null, CriticalThread.task(this::run), name, stackBytes);
+        this.thread = new Thread(null, CriticalThread.wrap(this::run), name, stackBytes);
         thread.setDaemon(true);
     }
 
--- a/src/main/java/cairnline/transport/EventLoop.java
+++ b/src/main/java/cairnline/transport/EventLoop.java
@@ -53,7 +53,7 @@
     public EventLoop(String name, int stackBytes, Clock clock) throws IOException {
         this.clock = clock;
         this.selector = Selector.open();
-        this.thread = new Thread(null, CriticalThread.task(this::run), name, stackBytes);
+        this.thread = new Thread(null, CriticalThread.wrap(this::run), name, stackBytes);
         thread.setDaemon(true);
     }
 
--- a/src/main/java/cairnline/transport/Threads.java
+++ b/src/main/java/cairnline/transport/Threads.java
@@ -10,7 +10,7 @@
 
     /** Starts a thread without which the program serves nobody; the stack is in bytes. */
     static void startVital(String name, int stackBytes, Runnable task) {
-        Thread thread = new Thread(null, CriticalThread.task(task), name, stackBytes);
+        Thread thread = new Thread(null, CriticalThread.wrap(task), name, stackBytes);
         thread.setDaemon(true);
         thread.start();
     }
--- a/src/test/java/cairnline/program/FaultsTest.java
+++ b/src/test/java/cairnline/program/FaultsTest.java
@@ -34,7 +34,7 @@
 
     @Test
     void theEndOfAThreadThatIsNeededEndsTheProcess() throws Exception {
-        ends(CriticalThread.task(() -> {
+        ends(CriticalThread.wrap(() -> {
             throw new IllegalStateException("odd");
         }));
         assertTrue(written.toString().contains("java.lang.IllegalStateException: odd"), written.toString());
