--- a/src/main/java/cairnline/transport/HttpConnection.java
+++ b/src/main/java/cairnline/transport/HttpConnection.java
@@ -162,10 +162,10 @@
         }
         if (!good || pageCount > limits.http().pages()) {
             end(answer, Attempt.Result.of(End.ERROR));
-        } else if (next != null && now.wanted() && !answer.closes()) {
+        } else if (next != null && now.isWanted() && !answer.closes()) {
             peer.send(withHost(HttpMessage.request("GET", next, Map.of("accept", "application/json"),
                     new byte[0])));
-        } else if (next != null && now.wanted()) {
+        } else if (next != null && now.isWanted()) {
             end(answer, Attempt.Result.of(End.ERROR));
         } else {
             byte[] whole = pages.whole().bytes();
--- a/src/main/java/cairnline/transport/RespConnection.java
+++ b/src/main/java/cairnline/transport/RespConnection.java
@@ -164,7 +164,7 @@
 
         @Override
         public boolean isWanted() {
-            return exchange.attempt.wanted();
+            return exchange.attempt.isWanted();
         }
     }
 
@@ -320,7 +320,7 @@
             return;
         }
         boolean isPaged = exchange.result.count() > 1;
-        if (isPaged && !exchange.attempt.wanted()) {
+        if (isPaged && !exchange.attempt.isWanted()) {
             forget(exchange, Attempt.Result.of(End.OK));
             return;
         }
@@ -335,7 +335,7 @@
         if (!exchange.result.awaits(message.page())) {
             return;
         }
-        if (exchange.attempt.wanted()) {
+        if (exchange.attempt.isWanted()) {
             put(exchange, message.page(), message.body());
         } else {
             forget(exchange, Attempt.Result.of(End.OK));
