--- a/src/main/java/cairnline/transport/RespConnection.java
+++ b/src/main/java/cairnline/transport/RespConnection.java
@@ -172,7 +172,7 @@
     private byte[] command(Exchange exchange, long now) {
         Attempt attempt = exchange.attempt;
         Request request = attempt.request();
-        boolean allowed = now <= link.lastSend() && now < attempt.endsAt() && attempt.mayBegin();
+        boolean allowed = now <= link.lastSend() && now < attempt.endsAt() && attempt.mayStart();
         synchronized (this) {
             if (exchanges.get(request.id()) != exchange) {
                 return null;
