--- a/src/main/java/cairnline/transport/HttpConnection.java
+++ b/src/main/java/cairnline/transport/HttpConnection.java
@@ -77,7 +77,7 @@
 
     /** The request, if it may still leave when its turn comes. */
     private byte[] command(Attempt next, long now) {
-        boolean allowed = now <= link.lastSend() && now < next.endsAt() && next.mayStart();
+        boolean allowed = now <= link.lastSend() && now < next.deadline() && next.mayStart();
         synchronized (this) {
             if (attempt != next) {
                 return null;
--- a/src/main/java/cairnline/transport/RespConnection.java
+++ b/src/main/java/cairnline/transport/RespConnection.java
@@ -172,7 +172,7 @@
     private byte[] command(Exchange exchange, long now) {
         Attempt attempt = exchange.attempt;
         Request request = attempt.request();
-        boolean allowed = now <= link.lastSend() && now < attempt.endsAt() && attempt.mayStart();
+        boolean allowed = now <= link.lastSend() && now < attempt.deadline() && attempt.mayStart();
         synchronized (this) {
             if (exchanges.get(request.id()) != exchange) {
                 return null;
@@ -189,7 +189,7 @@
         }
         Map<String, String> fields = new LinkedHashMap<>();
         fields.put("profile", request.type());
-        fields.put("max", Long.toString(Clock.toMillis(attempt.endsAt() - now)));
+        fields.put("max", Long.toString(Clock.toMillis(attempt.deadline() - now)));
         if (request.repeatKey() != null) {
             fields.put("replay", request.repeatKey());
         }
