--- a/src/main/java/cairnline/transport/RespConnection.java
+++ b/src/main/java/cairnline/transport/RespConnection.java
@@ -374,7 +374,7 @@
             if (!exchanges.remove(id, exchange)) {
                 return;
             }
-            if (result.end() != End.OK || !exchange.result.isWhole()) {
+            if (result.status() != End.OK || !exchange.result.isWhole()) {
                 // A further attempt bears the same id: it must not meet here what may still come of this one.
                 undone.put(id, Boolean.TRUE);
             }
