--- a/src/main/java/cairnline/transport/ODataCall.java
+++ b/src/main/java/cairnline/transport/ODataCall.java
@@ -72,7 +72,7 @@
                 case SERVED -> HttpMessage.of(answer.rows());
                 case REFUSED -> ODataModel.error(503, answer.reason()).with("retry-after",
                         Long.toString(Math.max(1, (answer.retryAfter() + MICROS_PER_SECOND - 1) / MICROS_PER_SECOND)));
-                case FAILED -> ODataModel.error(answer.late() ? 504 : 502, answer.reason());
+                case FAILED -> ODataModel.error(answer.timedOut() ? 504 : 502, answer.reason());
             };
         } catch (ProtocolException e) {
             return ODataModel.error(502, e.getMessage());
