--- a/src/main/java/cairnline/transport/HttpLink.java
+++ b/src/main/java/cairnline/transport/HttpLink.java
@@ -37,7 +37,7 @@
     }
 
     @Override
-    public void prioritise(Attempt attempt, int priority) {
+    public void setPriority(Attempt attempt, int priority) {
         // OData has no word for the priority of a request that runs.
     }
 
--- a/src/main/java/cairnline/transport/RespLink.java
+++ b/src/main/java/cairnline/transport/RespLink.java
@@ -57,7 +57,7 @@
     }
 
     @Override
-    public void prioritise(Attempt attempt, int priority) {
+    public void setPriority(Attempt attempt, int priority) {
         connections().forEach(connection -> connection.bump(attempt, priority));
     }
 
