--- a/src/main/java/cairnline/transport/PooledLink.java
+++ b/src/main/java/cairnline/transport/PooledLink.java
@@ -78,7 +78,7 @@
     }
 
     @Override
-    public final void lastSend(long time) {
+    public final void stopSendingAfter(long time) {
         lastSend = time;
     }
 
