--- a/src/main/java/cairnline/transport/PooledLink.java
+++ b/src/main/java/cairnline/transport/PooledLink.java
@@ -87,7 +87,7 @@
     }
 
     @Override
-    public final void renew() {
+    public final void resetConnections() {
         connections.forEach(budget::ended);
         connections.forEach(Connection::close);
         connections.clear();
@@ -95,6 +95,6 @@
 
     @Override
     public final void close() {
-        renew();
+        resetConnections();
     }
 }
