--- a/src/main/java/cairnline/transport/Peer.java
+++ b/src/main/java/cairnline/transport/Peer.java
@@ -441,7 +441,7 @@
     }
 
     private long due() {
-        long stalled = stalledSince == 0 ? Long.MAX_VALUE : stalledSince + limits.connections().writeStall();
+        long stalled = stalledSince == 0 ? Long.MAX_VALUE : stalledSince + limits.connections().writeStallTimeout();
         long asked = finishing ? lingerUntil : handler.due(lastRead);
         return Math.min(stalled, asked);
     }
@@ -457,7 +457,7 @@
     }
 
     private void lookAgain(long now) {
-        if (stalledSince > 0 && now - stalledSince >= limits.connections().writeStall()) {
+        if (stalledSince > 0 && now - stalledSince >= limits.connections().writeStallTimeout()) {
             closeNow("it takes nothing");
         } else if (now >= lingerUntil) {
             closeNow("not ended by the other side in time");
--- a/src/test/java/cairnline/transport/TestLimits.java
+++ b/src/test/java/cairnline/transport/TestLimits.java
@@ -17,7 +17,7 @@
     /** The same with another time, in microseconds, and other bytes for a connection whose output has been ended. */
     static Limits withLinger(Limits all, long linger, int ignoredBytes) {
         Limits.Connections usual = all.connections();
-        Limits.Connections connections = new Limits.Connections(usual.mailbox(), linger, ignoredBytes, usual.writeStall(),
+        Limits.Connections connections = new Limits.Connections(usual.mailbox(), linger, ignoredBytes, usual.writeStallTimeout(),
                 usual.connect());
         return new Limits(all.routing(), connections, all.clients(), all.engines(), all.feed(), all.shutdown(), all.http());
     }
