--- a/src/main/java/cairnline/transport/FeedClient.java
+++ b/src/main/java/cairnline/transport/FeedClient.java
@@ -63,7 +63,7 @@
             Socket opened = new Socket();
             at = use(opened);
             try (opened) {
-                opened.connect(at, (int) Clock.toMillis(limits.feed().connect()));
+                opened.connect(at, (int) Clock.toMillis(limits.feed().connectTimeout()));
                 opened.getOutputStream().write(("SUB " + list.lastNumber() + "\n").getBytes(StandardCharsets.US_ASCII));
                 read(opened, lost);
             } catch (IOException | RuntimeException e) {
--- a/src/main/java/cairnline/transport/Peer.java
+++ b/src/main/java/cairnline/transport/Peer.java
@@ -154,7 +154,7 @@
         if (connected) {
             cameUp();
         } else {
-            timer = loop.schedule(clock.micros() + limits.connections().connect(), this,
+            timer = loop.schedule(clock.micros() + limits.connections().connectTimeout(), this,
                     () -> unreachable(new SocketTimeoutException("no connection in time")));
         }
     }
--- a/src/test/java/cairnline/program/ConfigurationTest.java
+++ b/src/test/java/cairnline/program/ConfigurationTest.java
@@ -35,7 +35,7 @@
         assertEquals(List.of(1, 4, 2, 1), configuration.settings().types().stream().map(type -> type.threads()).toList());
         assertTrue(configuration.settings().types().get(0).waitsForHolder());
         assertEquals(16, configuration.settings().kinds().get("std16").cores());
-        assertEquals(250_000, configuration.limits().connections().connect());
+        assertEquals(250_000, configuration.limits().connections().connectTimeout());
         assertTrue(configuration.classes().get("load").ordered());
         assertFalse(configuration.classes().get("lookup").keyed());
     }
--- a/src/test/java/cairnline/transport/TestLimits.java
+++ b/src/test/java/cairnline/transport/TestLimits.java
@@ -18,7 +18,7 @@
     static Limits withLinger(Limits all, long linger, int ignoredBytes) {
         Limits.Connections usual = all.connections();
         Limits.Connections connections = new Limits.Connections(usual.mailbox(), linger, ignoredBytes, usual.writeStallTimeout(),
-                usual.connect());
+                usual.connectTimeout());
         return new Limits(all.routing(), connections, all.clients(), all.engines(), all.feed(), all.shutdown(), all.http());
     }
 
