--- a/src/main/java/cairnline/program/ODataServer.java
+++ b/src/main/java/cairnline/program/ODataServer.java
@@ -27,7 +27,7 @@
         var limits = configuration.limits();
         drainMost = limits.shutdown().draining();
         ConnectionBudget<PooledLink.Connection> connections =
-                new ConnectionBudget<>(limits.engines().connections(), limits.engines().idle());
+                new ConnectionBudget<>(limits.engines().connections(), limits.engines().idleTimeout());
         // OData has no words for a load or for notes: their absence must not count as silence.
         core = new Dispatcher(configuration.settings().withoutReports(), configuration.seed(), limits, clock,
                 line -> log.warn("module", line),
--- a/src/main/java/cairnline/program/Server.java
+++ b/src/main/java/cairnline/program/Server.java
@@ -54,7 +54,7 @@
         SnapshotFolder folder = settings.snapshots() == null ? null
                 : new SnapshotFolder(settings.snapshots(), settings.store(), log);
         ConnectionBudget<PooledLink.Connection> connections =
-                new ConnectionBudget<>(limits.engines().connections(), limits.engines().idle());
+                new ConnectionBudget<>(limits.engines().connections(), limits.engines().idleTimeout());
         keeper = folder == null ? null : new SnapshotKeeper(folder, settings.store(), log, clock::micros);
         core = new Dispatcher(configuration.settings(), configuration.seed(), limits, clock,
                 line -> log.warn("module", line),
--- a/src/main/java/cairnline/transport/Allowance.java
+++ b/src/main/java/cairnline/transport/Allowance.java
@@ -55,7 +55,7 @@
 
     /** When the client must have moved on, if it last did so then. */
     long due(long lastRead) {
-        return Math.min(lastRead + limits.clients().idle(), owed());
+        return Math.min(lastRead + limits.clients().idleTimeout(), owed());
     }
 
     /** When a message is owed. */
@@ -73,7 +73,7 @@
 
     /** Whether the client has been still for so long that it may go if it waits for nothing. */
     boolean isIdle(long now) {
-        return now - activeAt >= limits.clients().idle();
+        return now - activeAt >= limits.clients().idleTimeout();
     }
 
     boolean hasAsked() {
--- a/src/main/java/cairnline/transport/ClientSession.java
+++ b/src/main/java/cairnline/transport/ClientSession.java
@@ -165,7 +165,7 @@
 
     @Override
     public long due(long lastRead) {
-        return isDraining() ? lastRead + front.limits().clients().idle() : allowance.due(lastRead);
+        return isDraining() ? lastRead + front.limits().clients().idleTimeout() : allowance.due(lastRead);
     }
 
     @Override
--- a/src/main/java/cairnline/transport/HttpConnection.java
+++ b/src/main/java/cairnline/transport/HttpConnection.java
@@ -197,7 +197,7 @@
 
     @Override
     public long due(long lastRead) {
-        return lastRead + limits.engines().idle();
+        return lastRead + limits.engines().idleTimeout();
     }
 
     /** Decides and marks in one step, so that no attempt starts on a connection about to close. */
--- a/src/main/java/cairnline/transport/ODataSession.java
+++ b/src/main/java/cairnline/transport/ODataSession.java
@@ -145,7 +145,7 @@
 
     @Override
     public long due(long lastRead) {
-        return inputOver ? lastRead + front.limits().clients().idle() : allowance.due(lastRead);
+        return inputOver ? lastRead + front.limits().clients().idleTimeout() : allowance.due(lastRead);
     }
 
     @Override
--- a/src/main/java/cairnline/transport/RespConnection.java
+++ b/src/main/java/cairnline/transport/RespConnection.java
@@ -384,7 +384,7 @@
 
     @Override
     public long due(long lastRead) {
-        long usual = Math.min(limits.engines().idle(), limits.engines().silence());
+        long usual = Math.min(limits.engines().idleTimeout(), limits.engines().silence());
         return lastRead + (answers.partial() ? limits.engines().partialAnswer() : usual);
     }
 
@@ -399,7 +399,7 @@
         if (answers.partial() || !idle && still >= limits.engines().silence()) {
             seen = Evidence.NO_ANSWER;
         }
-        over |= answers.partial() || still >= (idle ? limits.engines().idle() : limits.engines().silence());
+        over |= answers.partial() || still >= (idle ? limits.engines().idleTimeout() : limits.engines().silence());
         return !over;
     }
 
--- a/src/main/java/cairnline/transport/StandInEngine.java
+++ b/src/main/java/cairnline/transport/StandInEngine.java
@@ -81,7 +81,7 @@
 
         @Override
         public long due(long lastRead) {
-            return lastRead + limits.engines().idle();
+            return lastRead + limits.engines().idleTimeout();
         }
 
         @Override
--- a/src/test/java/cairnline/program/ReadersTest.java
+++ b/src/test/java/cairnline/program/ReadersTest.java
@@ -41,7 +41,7 @@
         Limits limits = configuration.limits();
         Clock clock = new Clock();
         LinkedBlockingQueue<Map<String, Double>> reports = new LinkedBlockingQueue<>();
-        ConnectionBudget<PooledLink.Connection> connections = new ConnectionBudget<>(ENGINES, limits.engines().idle());
+        ConnectionBudget<PooledLink.Connection> connections = new ConnectionBudget<>(ENGINES, limits.engines().idleTimeout());
         Dispatcher core = new Dispatcher(configuration.settings(), configuration.seed(), limits, clock, line -> { },
                 (engine, owner) -> null);
         List<Socket> accepted = new ArrayList<>();
