--- a/src/main/java/cairnline/transport/Allowance.java
+++ b/src/main/java/cairnline/transport/Allowance.java
@@ -63,7 +63,7 @@
         if (partialSince > 0) {
             return partialSince + limits.clients().wholeMessage();
         }
-        return asked ? Long.MAX_VALUE : since + limits.clients().firstMessage();
+        return asked ? Long.MAX_VALUE : since + limits.clients().firstMessageTimeout();
     }
 
     /** Whether a message is owed for too long. */
