--- a/src/main/java/cairnline/transport/Allowance.java
+++ b/src/main/java/cairnline/transport/Allowance.java
@@ -61,7 +61,7 @@
     /** When a message is owed. */
     private long owed() {
         if (partialSince > 0) {
-            return partialSince + limits.clients().wholeMessage();
+            return partialSince + limits.clients().messageTimeout();
         }
         return asked ? Long.MAX_VALUE : since + limits.clients().firstMessageTimeout();
     }
