--- a/src/main/java/cairnline/transport/RespLink.java
+++ b/src/main/java/cairnline/transport/RespLink.java
@@ -21,7 +21,7 @@
     /** A link without a connection to the engine with this id. */
     public RespLink(String engine, InetSocketAddress address, Dispatcher core, Limits limits, EventLoop loop,
                     ConnectionBudget<Connection> budget, Events log) {
-        super(limits.engines().connectionsEach(), budget, loop.clock());
+        super(limits.engines().connectionsPerEngine(), budget, loop.clock());
         this.engine = engine;
         this.address = address;
         this.core = core;
