--- a/src/main/java/cairnline/transport/RespConnection.java
+++ b/src/main/java/cairnline/transport/RespConnection.java
@@ -126,7 +126,7 @@
 
     /** Whether a request with this id may start here; the id stays taken until its engine has answered. */
     synchronized boolean hasRoom(String id) {
-        return !over && exchanges.size() < limits.engines().streams() && !exchanges.containsKey(id)
+        return !over && exchanges.size() < limits.engines().streamsPerConnection() && !exchanges.containsKey(id)
                 && !undone.containsKey(id);
     }
 
