--- a/src/main/java/cairnline/transport/RespLink.java
+++ b/src/main/java/cairnline/transport/RespLink.java
@@ -49,7 +49,7 @@
      * same id, could be taken for the answer to this one.
      */
     private RespConnection connection(String id) {
-        return connection(known -> known.hasRoom(id), RespConnection::load, limits.engines().streamsSpread(), () -> {
+        return connection(known -> known.hasRoom(id), RespConnection::load, limits.engines().streamsBeforeNewConnection(), () -> {
             RespConnection opened = new RespConnection(this, core, limits, loop);
             opened.connect(address);
             return opened;
