--- a/src/main/java/cairnline/transport/FeedClient.java
+++ b/src/main/java/cairnline/transport/FeedClient.java
@@ -110,13 +110,13 @@
         if (wasLost) {
             log.info("feed.reached", "control feed reached again");
         }
-        long silentAt = clock.micros() + limits.feed().silence();
+        long silentAt = clock.micros() + limits.feed().silenceTimeout();
         for (int count = first(from, buffer); count >= 0; count = receive(from, buffer, silentAt)) {
             bytes.feed(buffer, 0, count);
             for (int end = bytes.indexOf('\n', searched); end >= 0; end = bytes.indexOf('\n', 0)) {
                 changed(FeedEvent.line(bytes.take(end)));
                 bytes.skip(1);
-                silentAt = clock.micros() + limits.feed().silence();
+                silentAt = clock.micros() + limits.feed().silenceTimeout();
             }
             asked();
             searched = bytes.size();
--- a/src/main/java/cairnline/transport/RespConnection.java
+++ b/src/main/java/cairnline/transport/RespConnection.java
@@ -384,7 +384,7 @@
 
     @Override
     public long due(long lastRead) {
-        long usual = Math.min(limits.engines().idleTimeout(), limits.engines().silence());
+        long usual = Math.min(limits.engines().idleTimeout(), limits.engines().silenceTimeout());
         return lastRead + (answers.partial() ? limits.engines().partialAnswer() : usual);
     }
 
@@ -396,10 +396,10 @@
     public synchronized boolean quiet(long now) {
         long still = now - Math.max(askedAt, heardAt);
         boolean idle = exchanges.isEmpty() && probes.isEmpty();
-        if (answers.partial() || !idle && still >= limits.engines().silence()) {
+        if (answers.partial() || !idle && still >= limits.engines().silenceTimeout()) {
             seen = Evidence.NO_ANSWER;
         }
-        over |= answers.partial() || still >= (idle ? limits.engines().idleTimeout() : limits.engines().silence());
+        over |= answers.partial() || still >= (idle ? limits.engines().idleTimeout() : limits.engines().silenceTimeout());
         return !over;
     }
 
