--- a/src/main/java/cairnline/transport/RespConnection.java
+++ b/src/main/java/cairnline/transport/RespConnection.java
@@ -385,7 +385,7 @@
     @Override
     public long due(long lastRead) {
         long usual = Math.min(limits.engines().idleTimeout(), limits.engines().silenceTimeout());
-        return lastRead + (answers.partial() ? limits.engines().partialAnswer() : usual);
+        return lastRead + (answers.partial() ? limits.engines().partialAnswerTimeout() : usual);
     }
 
     /**
