--- a/src/main/java/cairnline/transport/FeedClient.java
+++ b/src/main/java/cairnline/transport/FeedClient.java
@@ -92,9 +92,9 @@
 
     /** Waits before that address is asked again; not at all once there is another. */
     private synchronized boolean pause(InetSocketAddress asked) {
-        long until = clock.micros() + limits.feed().pause();
+        long until = clock.micros() + limits.feed().reconnectDelay();
         try {
-            for (long left = limits.feed().pause(); left > 0 && asked.equals(address); left = until - clock.micros()) {
+            for (long left = limits.feed().reconnectDelay(); left > 0 && asked.equals(address); left = until - clock.micros()) {
                 wait(Clock.toMillis(left));
             }
             return true;
--- a/src/test/java/cairnline/program/FirstAskTest.java
+++ b/src/test/java/cairnline/program/FirstAskTest.java
@@ -44,7 +44,7 @@
     /** The program's limits, but for the time that a feed has to tell what it has. */
     private Limits limits(long firstTold) {
         Limits usual = configuration.limits();
-        Limits.Feed feed = new Limits.Feed(usual.feed().connectTimeout(), usual.feed().pause(), usual.feed().silenceTimeout(), firstTold,
+        Limits.Feed feed = new Limits.Feed(usual.feed().connectTimeout(), usual.feed().reconnectDelay(), usual.feed().silenceTimeout(), firstTold,
                 usual.feed().lineBytes());
         return new Limits(usual.routing(), usual.connections(), usual.clients(), usual.engines(), feed, usual.shutdown(),
                 usual.http());
