--- a/src/main/java/cairnline/transport/FeedClient.java
+++ b/src/main/java/cairnline/transport/FeedClient.java
@@ -130,7 +130,7 @@
     /** What the feed has to tell at once; nothing if it has nothing new, and tells that only with its next sign of life. */
     private int first(Socket from, byte[] buffer) throws IOException {
         try {
-            return receive(from, buffer, clock.micros() + limits.feed().firstTold());
+            return receive(from, buffer, clock.micros() + limits.feed().firstUpdateTimeout());
         } catch (SocketTimeoutException e) {
             return 0;
         }
