--- a/src/main/java/cairnline/program/ODataServer.java
+++ b/src/main/java/cairnline/program/ODataServer.java
@@ -25,7 +25,7 @@
     ODataServer(Configuration configuration, ODataConfiguration odata, EventLoop loop, Events log) throws IOException {
         var clock = loop.clock();
         var limits = configuration.limits();
-        drainMost = limits.shutdown().draining();
+        drainMost = limits.shutdown().drainPeriod();
         ConnectionBudget<PooledLink.Connection> connections =
                 new ConnectionBudget<>(limits.engines().connections(), limits.engines().idleTimeout());
         // OData has no words for a load or for notes: their absence must not count as silence.
--- a/src/main/java/cairnline/program/Server.java
+++ b/src/main/java/cairnline/program/Server.java
@@ -151,12 +151,12 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        clients.drain(limits.shutdown().draining());
+        clients.drain(limits.shutdown().drainPeriod());
         if (odata != null) {
             odata.drain();
         }
         if (keeper != null) {
-            keeper.flush(limits.shutdown().draining());
+            keeper.flush(limits.shutdown().drainPeriod());
         }
         log.flush(LOG_FLUSH_MS);
         stopped.countDown();
