--- a/src/main/java/cairnline/membership/EngineListStore.java
+++ b/src/main/java/cairnline/membership/EngineListStore.java
@@ -1,21 +1,25 @@
 package cairnline.membership;
 
-/** Where the list is kept for the next start. All calls come from the core's thread and return at once. */
+/** Stores the engine list for the next start. All methods are called on the dispatcher's thread and do not block. */
 public interface EngineListStore {
-    /** Keeps nothing. */
+    /** Stores nothing. */
     EngineListStore NONE = new EngineListStore() {
         @Override
-        public void keep(MembershipView view, boolean urgent) { }
+        public void save(MembershipView view, boolean urgent) { }
 
         @Override
-        public long every() {
+        public long saveInterval() {
             return Long.MAX_VALUE;
         }
     };
 
-    /** Takes over a view; a later one stands in for all before it. Urgent if an engine has begun to drain or has ended. */
-    void keep(MembershipView view, boolean urgent);
+    /**
+     * Schedules a view to be stored; it replaces any earlier view that is not stored yet.
+     *
+     * @param urgent whether an engine has started to drain or was removed since the last view
+     */
+    void save(MembershipView view, boolean urgent);
 
-    /** How often it wants one while nothing urgent happens, in microseconds. */
-    long every();
+    /** Returns the interval, in microseconds, at which views are to be saved while no urgent change occurs. */
+    long saveInterval();
 }
--- a/src/main/java/cairnline/membership/Evidence.java
+++ b/src/main/java/cairnline/membership/Evidence.java
@@ -1,36 +1,38 @@
 package cairnline.membership;
 
 /**
- * What this manager itself has seen of an engine, and how far it moves the belief that the engine is the one listed and
- * serves: {@code nats}, the natural logarithm of a likelihood ratio. One refused connection undoes one answered probe;
- * a silent peer weighs less, since the network may have lost a single packet; bytes that no engine writes weigh most.
+ * An observation of an engine made by this process. Each kind carries the natural logarithm of a likelihood ratio: how
+ * strongly it supports, or contradicts, the belief that the listed engine serves at its address.
+ *
+ * <p>One refused connection outweighs one answered probe. A missing answer weighs less than a refusal, since the network
+ * may have lost a single packet. Bytes that no engine sends weigh most.
  */
 public enum Evidence {
-    /** It answered a probe as an engine does. */
+    /** The engine answered a probe with a valid reply. */
     PROBE_ANSWERED(2.5),
-    /** It answered a request: served, full or in error, but in an engine's words. */
+    /** The engine answered a request with a valid reply: rows, "full" or an error. */
     REQUEST_SERVED(3),
-    /** Its address refused a connection: no process listens there. */
-    REFUSED(-3),
-    /** It said nothing: no connection came up, or none of what was due on one. */
-    SILENCE(-2),
-    /** A connection that was up ended from its side: its process may have ended too. */
-    RESET(-1),
-    /** It wrote what no engine writes. */
-    UNREADABLE(-6);
+    /** The engine's address refused a connection: no process listens there. */
+    CONNECTION_REFUSED(-3),
+    /** A connection could not be established in time, or an expected reply did not arrive in time. */
+    NO_ANSWER(-2),
+    /** The engine's side closed an established connection: its process may have terminated too. */
+    CONNECTION_RESET(-1),
+    /** The peer sent bytes that no engine sends. */
+    MALFORMED(-6);
 
-    private final double nats;
+    private final double logLikelihoodRatio;
 
-    Evidence(double nats) {
-        this.nats = nats;
+    Evidence(double logLikelihoodRatio) {
+        this.logLikelihoodRatio = logLikelihoodRatio;
     }
 
-    double nats() {
-        return nats;
+    double logLikelihoodRatio() {
+        return logLikelihoodRatio;
     }
 
-    /** Whether it speaks for the engine. */
+    /** Whether the observation supports the belief that the engine serves. */
     public boolean isGood() {
-        return nats > 0;
+        return logLikelihoodRatio > 0;
     }
 }
--- a/src/main/java/cairnline/membership/ListedEngine.java
+++ b/src/main/java/cairnline/membership/ListedEngine.java
@@ -3,24 +3,34 @@
 import cairnline.control.ControlApi.Listed;
 
 /**
- * An engine as the list has it; {@code startedAt} is 0 for long ago. Unless {@code sure}, that is only when it was first
- * seen: it may be as cold as one that starts then.
+ * An engine as the engine list describes it.
+ *
+ * @param id the engine's unique id
+ * @param address host and port
+ * @param status whether it is ready, draining or removed
+ * @param zone location of the engine
+ * @param kind machine type
+ * @param cell group of engines that recognise each other's idempotency keys where the deduplication scope is the cell
+ * @param size relative size, as the feed reports it
+ * @param startedAt when it started, in microseconds on the program's clock; 0 for long ago
+ * @param startTimeKnown false if {@code startedAt} is only when the engine was first observed: it may be as cold as one
+ *     that started then
  */
-public record ListedEngine(String id, String address, Listed listed, String zone, String kind, int cell, double size,
-                           long startedAt, boolean sure) {
-    /** One whose start is known. */
-    public ListedEngine(String id, String address, Listed listed, String zone, String kind, int cell, double size,
+public record ListedEngine(String id, String address, Listed status, String zone, String kind, int cell, double size,
+                           long startedAt, boolean startTimeKnown) {
+    /** Creates an engine whose start time is known. */
+    public ListedEngine(String id, String address, Listed status, String zone, String kind, int cell, double size,
                         long startedAt) {
-        this(id, address, listed, zone, kind, cell, size, startedAt, true);
+        this(id, address, status, zone, kind, cell, size, startedAt, true);
     }
 
-    /** The same engine with another start. */
-    ListedEngine startedAt(long at) {
-        return new ListedEngine(id, address, listed, zone, kind, cell, size, at, sure);
+    /** Returns a copy with another start time. */
+    ListedEngine withStartedAt(long time) {
+        return new ListedEngine(id, address, status, zone, kind, cell, size, time, startTimeKnown);
     }
 
-    /** The same engine, listed otherwise. */
-    public ListedEngine as(Listed other) {
-        return new ListedEngine(id, address, other, zone, kind, cell, size, startedAt, sure);
+    /** Returns a copy with another status. */
+    public ListedEngine withStatus(Listed newStatus) {
+        return new ListedEngine(id, address, newStatus, zone, kind, cell, size, startedAt, startTimeKnown);
     }
 }
--- a/src/main/java/cairnline/membership/Member.java
+++ b/src/main/java/cairnline/membership/Member.java
@@ -3,71 +3,75 @@
 import cairnline.control.ControlApi.Listed;
 
 /**
- * What is believed of one listed engine, and why. Immutable, so that a view of all of them can be handed to another
- * thread as it is.
+ * The belief about one listed engine and the reasons for it. Immutable, so that a view of all members can be handed to
+ * another thread without copying them. Times are microseconds on the program's clock.
  *
- * @param engine as listed
- * @param state what is believed of it
- * @param trust how far, as long as the feed has not told
- * @param reportedAt when the feed told of it; 0 before it has in this run or any before
- * @param aliveAt when it was last seen alive, to within {@link #FINENESS}; 0 for never
- * @param aliveSince since when it has been seen alive without a break in this run; 0 if it is not
- * @param because the newest evidence; null if there is none of this run
+ * @param engine the engine as listed
+ * @param state the believed state
+ * @param trust belief that the entry is valid; used until the feed reports the engine
+ * @param reportedAt when the feed last reported the engine; 0 if it never has, in this or an earlier run
+ * @param aliveAt when the engine was last observed alive, to within {@link #ALIVE_RESOLUTION_MICROS}; 0 for never
+ * @param aliveSince start of the uninterrupted period in which the engine has been observed alive; 0 if there is none
+ * @param latestEvidence the newest evidence of this run; null if there is none
  */
 record Member(ListedEngine engine, State state, Trust trust, long reportedAt, long aliveAt, long aliveSince,
-              Evidence because) {
-    /** Being alive is noted this often, so that served work does not make garbage. */
-    static final long FINENESS = 1_000_000;
+              Evidence latestEvidence) {
+    /** {@code aliveAt} is updated at most this often, so that served requests do not allocate a new member each. */
+    static final long ALIVE_RESOLUTION_MICROS = 1_000_000;
 
-    static Member told(ListedEngine engine, long now, Member before) {
-        return new Member(engine, State.told(engine.listed()), new Trust(Trust.MOST), now,
+    static Member ofReported(ListedEngine engine, long now, Member before) {
+        return new Member(engine, State.ofReported(engine.status()), new Trust(Trust.MAX_LOG_ODDS), now,
                 before == null ? 0 : before.aliveAt, 0, null);
     }
 
-    /** Its age counts in both directions: a clock that was set back makes an entry no younger. */
-    static Member remembered(StoredEngine r, long now, TrustSettings settings) {
-        long age = Math.abs(now - r.confirmedAt());
-        ListedEngine engine = r.engine().startedAt() > now ? r.engine().startedAt(now) : r.engine();
-        return new Member(engine, State.remembered(r.last()),
-                Trust.aged(settings.fresh(), age, settings.halfLife(), r.last()), r.reportedAt(), r.aliveAt(), 0, null);
+    /** The absolute age counts: after the clock was set back, an entry from the future must not look recent. */
+    static Member ofStored(StoredEngine stored, long now, TrustSettings settings) {
+        long age = Math.abs(now - stored.confirmedAt());
+        ListedEngine engine = stored.engine().startedAt() > now ? stored.engine().withStartedAt(now) : stored.engine();
+        return new Member(engine, State.ofStored(stored.lastState()),
+                Trust.ofAge(settings.initialTrust(), age, settings.halfLife(), stored.lastState()), stored.reportedAt(),
+                stored.aliveAt(), 0, null);
     }
 
-    Member seen(Evidence evidence, long now) {
-        if (!state.isWatched() && evidence.isGood() && trust.nats() == Trust.MOST && now - aliveAt < FINENESS) {
+    Member after(Evidence evidence, long now) {
+        if (!state.needsProbing() && evidence.isGood() && trust.logOdds() == Trust.MAX_LOG_ODDS
+                && now - aliveAt < ALIVE_RESOLUTION_MICROS) {
             return this;
         }
-        Trust moved = state == State.CONFIRMED ? trust : trust.after(evidence);
-        State next = state.after(evidence, moved.suffices());
-        boolean alive = next == State.ALIVE || next == State.WARM;
-        // What ends a connection may have ended the engine: it may be cold once more.
-        boolean anew = !evidence.isGood() || state.isWatched();
-        long since = !alive ? 0 : anew || aliveSince == 0 ? now : aliveSince;
-        return new Member(engine, next, moved, reportedAt, evidence.isGood() ? now : aliveAt, since, evidence);
+        Trust nextTrust = state == State.CONFIRMED ? trust : trust.after(evidence);
+        State nextState = state.after(evidence, nextTrust.suffices());
+        boolean isAlive = nextState == State.ALIVE || nextState == State.WARM;
+        // Whatever closed a connection may have terminated the engine: a restarted engine is cold again.
+        boolean startsOver = !evidence.isGood() || state.needsProbing();
+        long since = !isAlive ? 0 : startsOver || aliveSince == 0 ? now : aliveSince;
+        return new Member(engine, nextState, nextTrust, reportedAt, evidence.isGood() ? now : aliveAt, since, evidence);
     }
 
-    Member at(long now, long warmWithin) {
-        State next = aliveSince == 0 ? state : state.afterAlive(now - aliveSince, warmWithin);
-        return next == state ? this : new Member(engine, next, trust, reportedAt, aliveAt, aliveSince, because);
+    Member at(long now, long warmUpMicros) {
+        State nextState = aliveSince == 0 ? state : state.afterAliveFor(now - aliveSince, warmUpMicros);
+        return nextState == state ? this
+                : new Member(engine, nextState, trust, reportedAt, aliveAt, aliveSince, latestEvidence);
     }
 
-    Member gone() {
-        return new Member(engine.as(Listed.GONE), State.REMOVED, trust, reportedAt, aliveAt, 0, because);
+    Member asRemoved() {
+        return new Member(engine.withStatus(Listed.GONE), State.REMOVED, trust, reportedAt, aliveAt, 0, latestEvidence);
     }
 
-    StoredEngine remembered() {
+    StoredEngine toStoredEngine() {
         return new StoredEngine(engine, state, reportedAt, aliveAt);
     }
 
     /**
-     * The entry as the module is told of it. One that may not be offered drains. One that may be cold has started when
-     * it was first seen alive, at the latest: the module's guard of cold engines does the rest.
+     * Returns the engine as it is passed to the decision module. An engine that may not be offered is passed as draining.
+     * One that may be cold gets the time at which it was first observed alive as its start time, so that the decision
+     * module's slow start applies to it.
      */
-    ListedEngine offer() {
-        boolean offered = engine.listed() == Listed.READY && state.isOffered();
-        Listed listed = engine.listed() == Listed.READY && !offered ? Listed.DRAINING : engine.listed();
+    ListedEngine toOffer() {
+        boolean isOffered = engine.status() == Listed.READY && state.isOffered();
+        Listed status = engine.status() == Listed.READY && !isOffered ? Listed.DRAINING : engine.status();
         long startedAt = state == State.ALIVE || state == State.WARM ? Math.max(aliveSince, engine.startedAt())
                 : engine.startedAt();
-        return new ListedEngine(engine.id(), engine.address(), listed, engine.zone(), engine.kind(), engine.cell(),
+        return new ListedEngine(engine.id(), engine.address(), status, engine.zone(), engine.kind(), engine.cell(),
                 engine.size(), startedAt, state != State.ALIVE);
     }
 }
--- a/src/main/java/cairnline/membership/Membership.java
+++ b/src/main/java/cairnline/membership/Membership.java
@@ -10,226 +10,230 @@
 import java.util.Set;
 
 /**
- * What is believed of each listed engine: it takes in what the feed tells, what the disk remembers and what was seen, and
- * gives each engine as the module is to be told of it. It does no I/O, reads no clock and is used by one thread; times
- * are microseconds on the program's clock and never run backwards.
+ * Tracks the believed state of each listed engine from reports of the control feed, the list restored from disk and
+ * evidence. For each engine it yields the <em>offer</em>: the entry as it is passed to the decision module. The class does
+ * no I/O, reads no clock and is not thread-safe. Times are microseconds on the program's clock and never decrease.
  *
- * <p>What is told needs nothing of this: as long as every entry is {@link State#TOLD}, offers equal the list.
+ * <p>As long as the feed has reported every entry as ready ({@link State#CONFIRMED}), the offers equal the reported list.
  */
 public final class Membership {
     private final TrustSettings settings;
     private final Map<String, Member> members = new HashMap<>();
-    private final int[] counts = new int[State.values().length];
+    private final int[] countsByState = new int[State.values().length];
     private final Probes probes;
-    /** Engines seen alive, in the order in which they were: those that may have become warm by now stand first. */
-    private final ArrayDeque<Alive> warming = new ArrayDeque<>();
-    private boolean restored;
-    private boolean heard;
-    private boolean urgent;
+    /** Engines observed alive, ordered by the time at which they can have become warm. */
+    private final ArrayDeque<WarmUp> warmUps = new ArrayDeque<>();
+    private boolean wasRestored;
+    private boolean feedReported;
+    private boolean urgentChange;
 
-    private record Alive(String id, long since) { }
+    private record WarmUp(String id, long aliveSince) { }
 
-    /** Nothing is believed yet. */
+    /** Creates a membership without engines. */
     public Membership(TrustSettings settings) {
         this.settings = settings;
         this.probes = new Probes(settings);
     }
 
-    // ---- What comes in ----
+    // ---- Input ----
 
-    /** Takes up what the disk remembers, which counts until the feed tells; gives the offers. */
-    public List<ListedEngine> restore(long now, List<StoredEngine> kept) {
-        restored = true;
+    /** Restores the stored engine list, which is valid until the feed reports; returns the offers of its engines. */
+    public List<ListedEngine> restore(long now, List<StoredEngine> storedEngines) {
+        wasRestored = true;
         List<ListedEngine> offers = new ArrayList<>();
-        for (StoredEngine each : kept) {
-            Member member = Member.remembered(each, now, settings);
-            if (!heard && member.state() != State.REMOVED && !members.containsKey(member.engine().id())) {
+        for (StoredEngine stored : storedEngines) {
+            Member member = Member.ofStored(stored, now, settings);
+            if (!feedReported && member.state() != State.REMOVED && !members.containsKey(member.engine().id())) {
                 put(member, now);
-                offers.add(member.offer());
+                offers.add(member.toOffer());
             }
         }
         return offers;
     }
 
     /**
-     * Takes in what the feed tells. Gives these entries with further ones that they end: what was remembered at an
-     * address that now belongs to another engine. A whole list replaces all that was remembered.
+     * Applies a list update from the feed. Returns its entries, followed by entries that it removes implicitly: restored
+     * engines whose address now belongs to another engine.
+     *
+     * @param complete whether the update holds all engines; it then replaces all restored entries
      */
-    public List<ListedEngine> told(long now, boolean whole, List<ListedEngine> entries) {
-        heard = true;
-        List<ListedEngine> all = new ArrayList<>(entries);
-        Set<String> named = new HashSet<>();
-        entries.forEach(e -> named.add(e.id()));
-        if (whole) {
-            List.copyOf(members.keySet()).stream().filter(id -> !named.contains(id)).forEach(this::remove);
+    public List<ListedEngine> applyUpdate(long now, boolean complete, List<ListedEngine> entries) {
+        feedReported = true;
+        List<ListedEngine> result = new ArrayList<>(entries);
+        Set<String> reportedIds = new HashSet<>();
+        entries.forEach(entry -> reportedIds.add(entry.id()));
+        if (complete) {
+            List.copyOf(members.keySet()).stream().filter(id -> !reportedIds.contains(id)).forEach(this::remove);
         } else {
-            endTakenOver(entries, named, all);
+            removeReplaced(entries, reportedIds, result);
         }
         for (ListedEngine entry : entries) {
             Member before = members.get(entry.id());
-            urgent |= entry.listed() != Listed.READY && before != null && before.engine().listed() == Listed.READY;
-            if (entry.listed() == Listed.GONE) {
+            urgentChange |= entry.status() != Listed.READY && before != null && before.engine().status() == Listed.READY;
+            if (entry.status() == Listed.GONE) {
                 remove(entry.id());
             } else {
-                put(Member.told(entry, now, before), now);
+                put(Member.ofReported(entry, now, before), now);
             }
         }
-        urgent |= whole;
-        return all;
+        urgentChange |= complete;
+        return result;
     }
 
-    private void endTakenOver(List<ListedEngine> entries, Set<String> named, List<ListedEngine> all) {
-        if (untold() == 0) {
+    private void removeReplaced(List<ListedEngine> entries, Set<String> reportedIds, List<ListedEngine> result) {
+        if (unconfirmedCount() == 0) {
             return;
         }
         Set<String> addresses = new HashSet<>();
-        entries.stream().filter(e -> e.listed() != Listed.GONE).forEach(e -> addresses.add(e.address()));
-        for (Member m : List.copyOf(members.values())) {
-            if (m.state().isUntold() && !named.contains(m.engine().id()) && addresses.contains(m.engine().address())) {
-                all.add(m.gone().engine());
-                remove(m.engine().id());
+        entries.stream().filter(entry -> entry.status() != Listed.GONE).forEach(entry -> addresses.add(entry.address()));
+        for (Member member : List.copyOf(members.values())) {
+            if (member.state().isUnconfirmed() && !reportedIds.contains(member.engine().id())
+                    && addresses.contains(member.engine().address())) {
+                result.add(member.asRemoved().engine());
+                remove(member.engine().id());
             }
         }
     }
 
-    /** Takes in what was seen of an engine; gives its offer if that has changed, else null. */
-    public ListedEngine seen(long now, String id, Evidence evidence) {
+    /** Applies evidence about an engine; returns its offer if that has changed, otherwise null. */
+    public ListedEngine observe(long now, String id, Evidence evidence) {
         Member before = members.get(id);
         if (before == null) {
             return null;
         }
-        Member after = before.seen(evidence, now);
+        Member after = before.after(evidence, now);
         if (after != before) {
             put(after, now);
-            if (after.state().isWatched()) {
-                probes.settled(id, evidence.isGood(), now);
+            if (after.state().needsProbing()) {
+                probes.finished(id, evidence.isGood(), now);
             }
         }
-        return changed(before, after);
+        return changedOffer(before, after);
     }
 
-    /** A probe ended without an answer; what was seen of it, if anything, has been told. */
-    public void probeEnded(long now, String id) {
-        if (probes.isOut(id)) {
-            probes.settled(id, false, now);
+    /** Records that a probe has ended without an answer; evidence that it yielded has been applied before. */
+    public void probeFailed(long now, String id) {
+        if (probes.isInFlight(id)) {
+            probes.finished(id, false, now);
         }
     }
 
-    /** What time alone has changed: probes not answered, engines warm by now. Gives the offers that changed. */
-    public List<ListedEngine> turn(long now) {
+    /** Applies what depends on time only: probe timeouts and completed warm-ups. Returns the offers that have changed. */
+    public List<ListedEngine> advanceTime(long now) {
         List<ListedEngine> offers = new ArrayList<>(0);
-        for (String id = probes.silent(now); id != null; id = probes.silent(now)) {
-            ListedEngine offer = seen(now, id, Evidence.NO_ANSWER);
+        for (String id = probes.timedOut(now); id != null; id = probes.timedOut(now)) {
+            ListedEngine offer = observe(now, id, Evidence.NO_ANSWER);
             if (offer != null) {
                 offers.add(offer);
             }
         }
-        while (!warming.isEmpty() && now - warming.peekFirst().since >= settings.warmWithin()) {
-            Alive alive = warming.pollFirst();
-            Member m = members.get(alive.id);
-            if (m != null && m.aliveSince() == alive.since) {
-                put(m.at(now, settings.warmWithin()), now);
+        while (!warmUps.isEmpty() && now - warmUps.peekFirst().aliveSince >= settings.warmUp()) {
+            WarmUp warmUp = warmUps.pollFirst();
+            Member member = members.get(warmUp.id);
+            if (member != null && member.aliveSince() == warmUp.aliveSince) {
+                put(member.at(now, settings.warmUp()), now);
             }
         }
         return offers;
     }
 
-    // ---- What is asked of it ----
+    // ---- Queries ----
 
-    /** The engine to be probed now, which from now on counts as asked; null if none is due. */
-    public String probe(long now) {
-        return probes.next(now, offered());
+    /** Returns the id of the engine to probe now and counts its probe as in flight; null if none is due. */
+    public String nextProbe(long now) {
+        return probes.next(now, offeredCount());
     }
 
-    /** When {@link #turn} or {@link #probe} has something to do next; never if nothing is waited for. */
-    public long due(long now) {
-        long warm = warming.isEmpty() ? Long.MAX_VALUE : warming.peekFirst().since + settings.warmWithin();
-        return Math.min(warm, probes.due(now, offered()));
+    /** Returns when {@link #advanceTime} or {@link #nextProbe} is next to be called; {@code Long.MAX_VALUE} for never. */
+    public long nextEventAt(long now) {
+        long warmAt = warmUps.isEmpty() ? Long.MAX_VALUE : warmUps.peekFirst().aliveSince + settings.warmUp();
+        return Math.min(warmAt, probes.nextEventAt(now, offeredCount()));
     }
 
     /**
-     * How long until asking again may help, if nothing can be offered and nothing is about to change that; 0 if a
-     * request may be served or is worth holding. Only for a list that was restored and not told since.
+     * Returns the time in microseconds after which a client should retry, if no engine can be offered and no first probe is
+     * pending that could change this; 0 if a request may be served or is worth queueing. Not 0 only while the list is the
+     * restored one, without a report from the feed since.
      */
-    public long comeBack(long now) {
-        if (!restored || heard || offered() > 0 || count(State.RESTORED) > 0) {
+    public long retryAfter(long now) {
+        if (!wasRestored || feedReported || offeredCount() > 0 || count(State.RESTORED) > 0) {
             return 0;
         }
-        long soonest = probes.soonestAgain();
-        return soonest == Long.MAX_VALUE ? settings.advice() : Math.max(settings.probePause(), soonest - now);
+        long nextProbeAt = probes.nextRepeatAt();
+        return nextProbeAt == Long.MAX_VALUE ? settings.retryAfter() : Math.max(settings.probeInterval(), nextProbeAt - now);
     }
 
-    /** The engine as the module is to be told of it; an entry that is unknown, having ended, as it is. */
-    public ListedEngine offer(ListedEngine entry) {
-        Member m = members.get(entry.id());
-        return m == null ? entry : m.offer();
+    /** Returns the offer for this entry; an entry without a member, as after its removal, is returned unchanged. */
+    public ListedEngine offerFor(ListedEngine entry) {
+        Member member = members.get(entry.id());
+        return member == null ? entry : member.toOffer();
     }
 
-    /** How many engines are believed to be in this state. */
+    /** Returns the number of engines in this state. */
     public int count(State state) {
-        return counts[state.ordinal()];
+        return countsByState[state.ordinal()];
     }
 
-    /** What is believed of this engine; null if it is not listed. */
-    public State state(String id) {
-        Member m = members.get(id);
-        return m == null ? null : m.state();
+    /** Returns the state of this engine; null if it is not listed. */
+    public State stateOf(String id) {
+        Member member = members.get(id);
+        return member == null ? null : member.state();
     }
 
-    /** Odds that this entry holds, between 0 and 1; 0 for an engine that is not listed. */
-    public double trust(String id) {
-        Member m = members.get(id);
-        return m == null ? 0 : m.trust().probability();
+    /** Returns the probability that this entry is valid, between 0 and 1; 0 for an engine that is not listed. */
+    public double trustIn(String id) {
+        Member member = members.get(id);
+        return member == null ? 0 : member.trust().probability();
     }
 
-    /** All that is believed now. */
+    /** Returns an immutable view of all members. */
     public MembershipView view(long now) {
         return new MembershipView(now, members.values().toArray(new Member[0]));
     }
 
-    /** Whether something has come that a restart must not forget; asked once. */
-    public boolean takeUrgent() {
-        boolean was = urgent;
-        urgent = false;
-        return was;
+    /** Returns whether a change has to be stored at once, since it must survive a restart; clears the flag. */
+    public boolean takeUrgentChange() {
+        boolean wasUrgent = urgentChange;
+        urgentChange = false;
+        return wasUrgent;
     }
 
     // ---- State ----
 
-    private int offered() {
+    private int offeredCount() {
         return count(State.CONFIRMED) + count(State.ALIVE) + count(State.WARM);
     }
 
-    private int untold() {
+    private int unconfirmedCount() {
         return members.size() - count(State.CONFIRMED) - count(State.DRAINING);
     }
 
-    private void put(Member m, long now) {
-        Member before = members.put(m.engine().id(), m);
+    private void put(Member member, long now) {
+        Member before = members.put(member.engine().id(), member);
         if (before != null) {
-            counts[before.state().ordinal()]--;
+            countsByState[before.state().ordinal()]--;
         }
-        counts[m.state().ordinal()]++;
-        if (m.state().isWatched()) {
-            probes.watch(m, now);
+        countsByState[member.state().ordinal()]++;
+        if (member.state().needsProbing()) {
+            probes.schedule(member, now);
         } else {
-            probes.forget(m.engine().id());
+            probes.remove(member.engine().id());
         }
-        if (m.state() == State.ALIVE && (before == null || before.aliveSince() != m.aliveSince())) {
-            warming.addLast(new Alive(m.engine().id(), m.aliveSince()));
+        if (member.state() == State.ALIVE && (before == null || before.aliveSince() != member.aliveSince())) {
+            warmUps.addLast(new WarmUp(member.engine().id(), member.aliveSince()));
         }
     }
 
     private void remove(String id) {
         Member before = members.remove(id);
         if (before != null) {
-            counts[before.state().ordinal()]--;
-            probes.forget(id);
+            countsByState[before.state().ordinal()]--;
+            probes.remove(id);
         }
     }
 
-    private static ListedEngine changed(Member before, Member after) {
-        ListedEngine offer = after.offer();
-        return offer.equals(before.offer()) ? null : offer;
+    private static ListedEngine changedOffer(Member before, Member after) {
+        ListedEngine offer = after.toOffer();
+        return offer.equals(before.toOffer()) ? null : offer;
     }
 }
--- a/src/main/java/cairnline/membership/MembershipView.java
+++ b/src/main/java/cairnline/membership/MembershipView.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** All that is believed at one moment: immutable, made in one copy of references, read on any thread. */
+/** An immutable view of all members at one moment. Taking it copies only references; it can be read on any thread. */
 public final class MembershipView {
     private final long takenAt;
     private final Member[] members;
@@ -13,18 +13,18 @@
         this.members = members;
     }
 
-    /** When it was taken, in microseconds. */
+    /** Returns when the view was taken, in microseconds on the program's clock. */
     public long takenAt() {
         return takenAt;
     }
 
-    /** The engines in it. */
+    /** Returns the number of engines in the view. */
     public int size() {
         return members.length;
     }
 
-    /** What the disk keeps of it. */
-    public List<StoredEngine> remembered() {
-        return Arrays.stream(members).map(Member::remembered).toList();
+    /** Returns the entries to be written to the stored engine list. */
+    public List<StoredEngine> storedEngines() {
+        return Arrays.stream(members).map(Member::toStoredEngine).toList();
     }
 }
--- a/src/main/java/cairnline/membership/Probes.java
+++ b/src/main/java/cairnline/membership/Probes.java
@@ -6,36 +6,42 @@
 import java.util.TreeSet;
 
 /**
- * Whom to probe first, and when again: entries with most trust go first, ill ones at growing pauses, and no more are out
- * at once than the settings say. Plain state of {@link Membership}; times in microseconds.
+ * Schedules the probes of entries that the feed has not confirmed: the most trusted entries first, unhealthy ones with
+ * exponential back-off, and never more at once than the settings allow. Used only by {@link Membership}, on its thread;
+ * times are in microseconds.
  */
 final class Probes {
-    /** Pauses double until this many failures; further ones would overflow and change nothing. */
-    private static final int DOUBLINGS = 16;
+    /** The back-off doubles at most this often; further doublings would overflow and are above the upper bound anyway. */
+    private static final int MAX_DOUBLINGS = 16;
 
     private final TrustSettings settings;
-    private final Map<String, Watch> watched = new HashMap<>();
-    /** Never asked yet; the most trusted first, and where trust is at its least, the last confirmed. */
-    private final TreeSet<Watch> fresh = new TreeSet<>(Comparator.comparingDouble((Watch w) -> -w.trust)
-            .thenComparingLong(w -> -w.confirmedAt).thenComparing(w -> w.id));
-    /** To be asked again. */
-    private final TreeSet<Watch> again = new TreeSet<>(Comparator.comparingLong((Watch w) -> w.dueAt)
-            .thenComparing(w -> w.id));
-    private final TreeSet<Watch> out = new TreeSet<>(Comparator.comparingLong((Watch w) -> w.silentAt)
-            .thenComparing(w -> w.id));
-
-    /** An entry that is looked after. Its fields are set only while it stands in neither of the sets. */
-    private static final class Watch {
+    private final Map<String, ProbedEntry> entries = new HashMap<>();
+    /** Entries that were never probed: the most trusted first; at equal trust, the most recently confirmed first. */
+    private final TreeSet<ProbedEntry> neverProbed =
+            new TreeSet<>(Comparator.comparingDouble((ProbedEntry entry) -> -entry.logOdds)
+                    .thenComparingLong(entry -> -entry.confirmedAt).thenComparing(entry -> entry.id));
+    /** Entries that wait for their next probe, by due time. */
+    private final TreeSet<ProbedEntry> waiting =
+            new TreeSet<>(Comparator.comparingLong((ProbedEntry entry) -> entry.dueAt).thenComparing(entry -> entry.id));
+    /** Entries with a probe in flight, by the time at which it times out. */
+    private final TreeSet<ProbedEntry> inFlight =
+            new TreeSet<>(Comparator.comparingLong((ProbedEntry entry) -> entry.timeoutAt).thenComparing(entry -> entry.id));
+
+    /**
+     * An entry to be probed. It is in exactly one of the three sets; its fields may change only while it is removed from
+     * that set, since the sets sort by them.
+     */
+    private static final class ProbedEntry {
         final String id;
-        double trust;
+        double logOdds;
         long confirmedAt;
         long dueAt;
-        /** When a probe that is out counts as unanswered; 0 if none is out. */
-        long silentAt;
-        boolean asked;
+        /** When the probe in flight counts as unanswered; 0 if none is in flight. */
+        long timeoutAt;
+        boolean wasProbed;
         int failures;
 
-        Watch(String id) {
+        ProbedEntry(String id) {
             this.id = id;
         }
     }
@@ -44,88 +50,91 @@
         this.settings = settings;
     }
 
-    /** Looks after this entry, or takes up what is believed of it now. */
-    void watch(Member member, long now) {
-        Watch w = watched.computeIfAbsent(member.engine().id(), Watch::new);
-        if (w.silentAt == 0) {
-            take(w);
-            w.trust = member.trust().nats();
-            w.confirmedAt = Math.max(member.reportedAt(), member.aliveAt());
-            put(w);
+    /** Starts probing this member, or updates its rank if it is probed already and no probe is in flight. */
+    void schedule(Member member, long now) {
+        ProbedEntry entry = entries.computeIfAbsent(member.engine().id(), ProbedEntry::new);
+        if (entry.timeoutAt == 0) {
+            removeFromSet(entry);
+            entry.logOdds = member.trust().logOdds();
+            entry.confirmedAt = Math.max(member.reportedAt(), member.aliveAt());
+            addToSet(entry);
         }
     }
 
-    private void put(Watch w) {
-        (w.asked ? again : fresh).add(w);
+    private void addToSet(ProbedEntry entry) {
+        (entry.wasProbed ? waiting : neverProbed).add(entry);
     }
 
-    private void take(Watch w) {
-        (w.silentAt > 0 ? out : w.asked ? again : fresh).remove(w);
+    private void removeFromSet(ProbedEntry entry) {
+        (entry.timeoutAt > 0 ? inFlight : entry.wasProbed ? waiting : neverProbed).remove(entry);
     }
 
-    void forget(String id) {
-        Watch w = watched.remove(id);
-        if (w != null) {
-            take(w);
+    void remove(String id) {
+        ProbedEntry entry = entries.remove(id);
+        if (entry != null) {
+            removeFromSet(entry);
         }
     }
 
-    /** The next to be asked, which from now on counts as asked; null if none is due or too many are out. */
-    String next(long now, int offered) {
-        if (due(now, offered) > now || out.size() >= settings.probesAtOnce()) {
+    /**
+     * Returns the id of the engine to probe now and counts its probe as in flight; null if none is due or the maximum
+     * number of probes is in flight.
+     */
+    String next(long now, int offeredEngines) {
+        if (nextEventAt(now, offeredEngines) > now || inFlight.size() >= settings.maxConcurrentProbes()) {
             return null;
         }
-        Watch w = !again.isEmpty() && again.first().dueAt <= now ? again.first()
-                : !fresh.isEmpty() && offered < settings.enough() ? fresh.first() : null;
-        if (w == null) {
+        ProbedEntry entry = !waiting.isEmpty() && waiting.first().dueAt <= now ? waiting.first()
+                : !neverProbed.isEmpty() && offeredEngines < settings.enoughOffered() ? neverProbed.first() : null;
+        if (entry == null) {
             return null;
         }
-        take(w);
-        w.asked = true;
-        w.silentAt = now + settings.probeWithin();
-        out.add(w);
-        return w.id;
+        removeFromSet(entry);
+        entry.wasProbed = true;
+        entry.timeoutAt = now + settings.probeTimeout();
+        inFlight.add(entry);
+        return entry.id;
     }
 
-    /** One whose probe has been out for too long; null if there is none. */
-    String silent(long now) {
-        return !out.isEmpty() && out.first().silentAt <= now ? out.first().id : null;
+    /** Returns the id of an engine whose probe has timed out; null if there is none. */
+    String timedOut(long now) {
+        return !inFlight.isEmpty() && inFlight.first().timeoutAt <= now ? inFlight.first().id : null;
     }
 
-    /** Its probe is over, or what was seen of it makes waiting for one idle. */
-    void settled(String id, boolean good, long now) {
-        Watch w = watched.get(id);
-        if (w == null) {
+    /** Records that the probe of this engine has ended, or that other evidence has made its answer unnecessary. */
+    void finished(String id, boolean isGood, long now) {
+        ProbedEntry entry = entries.get(id);
+        if (entry == null) {
             return;
         }
-        take(w);
-        w.silentAt = 0;
-        w.asked = true;
-        w.failures = good ? 0 : w.failures + 1;
-        long pause = settings.probePause() << Math.min(DOUBLINGS, Math.max(0, w.failures - 1));
-        w.dueAt = now + Math.min(settings.probePauseMost(), pause);
-        put(w);
+        removeFromSet(entry);
+        entry.timeoutAt = 0;
+        entry.wasProbed = true;
+        entry.failures = isGood ? 0 : entry.failures + 1;
+        long backoff = settings.probeInterval() << Math.min(MAX_DOUBLINGS, Math.max(0, entry.failures - 1));
+        entry.dueAt = now + Math.min(settings.maxProbeInterval(), backoff);
+        addToSet(entry);
     }
 
-    /** When something is due next; never if nothing is watched. */
-    long due(long now, int offered) {
-        long silent = out.isEmpty() ? Long.MAX_VALUE : out.first().silentAt;
-        if (out.size() >= settings.probesAtOnce()) {
-            return silent;
+    /** Returns when the next probe is due or times out; {@code Long.MAX_VALUE} if no entry is probed. */
+    long nextEventAt(long now, int offeredEngines) {
+        long timeout = inFlight.isEmpty() ? Long.MAX_VALUE : inFlight.first().timeoutAt;
+        if (inFlight.size() >= settings.maxConcurrentProbes()) {
+            return timeout;
         }
-        long asked = again.isEmpty() ? Long.MAX_VALUE : Math.max(now, again.first().dueAt);
-        long first = fresh.isEmpty() || offered >= settings.enough() ? Long.MAX_VALUE : now;
-        return Math.min(silent, Math.min(asked, first));
+        long repeated = waiting.isEmpty() ? Long.MAX_VALUE : Math.max(now, waiting.first().dueAt);
+        long first = neverProbed.isEmpty() || offeredEngines >= settings.enoughOffered() ? Long.MAX_VALUE : now;
+        return Math.min(timeout, Math.min(repeated, first));
     }
 
-    /** When the next of those asked before may be asked again; never if there is none. */
-    long soonestAgain() {
-        return again.isEmpty() ? Long.MAX_VALUE : again.first().dueAt;
+    /** Returns when the next entry that was probed before is due; {@code Long.MAX_VALUE} if there is none. */
+    long nextRepeatAt() {
+        return waiting.isEmpty() ? Long.MAX_VALUE : waiting.first().dueAt;
     }
 
-    /** Whether a probe of this entry is out. */
-    boolean isOut(String id) {
-        Watch w = watched.get(id);
-        return w != null && w.silentAt > 0;
+    /** Whether a probe of this engine is in flight. */
+    boolean isInFlight(String id) {
+        ProbedEntry entry = entries.get(id);
+        return entry != null && entry.timeoutAt > 0;
     }
 }
--- a/src/main/java/cairnline/membership/State.java
+++ b/src/main/java/cairnline/membership/State.java
@@ -3,71 +3,89 @@
 import cairnline.control.ControlApi.Listed;
 
 /**
- * What is believed of a listed engine. The transitions stand here and nowhere else; docs/membership.md draws them.
+ * The believed state of a listed engine. All state transitions are defined here; docs/membership.md has the diagram.
  *
- * <p>The control feed's word stands above all evidence: it alone leads to and from {@link #TOLD}, {@link #LEAVING} and
- * {@link #GONE}. Between the other states evidence leads, and time from {@link #ALIVE} to {@link #PROVEN}.
+ * <p>The control feed takes precedence over all evidence: only the feed leads to and from {@link #CONFIRMED},
+ * {@link #DRAINING} and {@link #REMOVED}. Evidence moves an engine between the other states, and time moves it from
+ * {@link #ALIVE} to {@link #WARM}.
+ *
+ * <p>The order of the constants is part of the snapshot format, which stores ordinals.
  */
 public enum State {
-    /** The feed of this run lists it in service: the module decides alone. */
-    TOLD,
-    /** Known from disk; nothing seen yet, or too little for an entry so old. */
-    REMEMBERED,
-    /** Seen alive in this run, not known to be warm. */
-    ALIVE,
-    /** Seen alive for as long as an engine takes to warm up. */
-    PROVEN,
-    /** Known from disk, and seen not to serve. */
-    ILL,
-    /** Known from disk, and what answers there is no engine. */
-    MISTAKEN,
-    /** Last told to drain: gets nothing new, whatever is seen of it. */
-    LEAVING,
-    /** Last told to have ended. */
-    GONE;
+    /** The feed reported the engine as ready during this run; only the decision module judges it. */
+    CONFIRMED("told"),
+    /** Restored from disk; not observed yet, or too little evidence for an entry of its age. */
+    RESTORED("remembered"),
+    /** Observed alive during this run, but not known to be warm. */
+    ALIVE("alive"),
+    /** Observed alive for at least the warm-up period. */
+    WARM("proven"),
+    /** Restored from disk, and observed not to serve. */
+    UNHEALTHY("ill"),
+    /** Restored from disk, and whatever answers at the address is not an engine. */
+    MISIDENTIFIED("mistaken"),
+    /** Last reported as draining: receives no new requests, regardless of evidence. */
+    DRAINING("leaving"),
+    /** Last reported as removed. */
+    REMOVED("gone");
+
+    private final String printedName;
+
+    State(String printedName) {
+        this.printedName = printedName;
+    }
+
+    /** Returns the name under which commands print this state; operators' tools match it. */
+    public String printedName() {
+        return printedName;
+    }
 
-    /** What the feed's word makes of any state. */
-    static State told(Listed listed) {
-        return switch (listed) {
-            case READY -> TOLD;
-            case DRAINING -> LEAVING;
-            case GONE -> GONE;
+    /** Returns the state after the feed has reported this status; the state before does not matter. */
+    static State ofReported(Listed status) {
+        return switch (status) {
+            case READY -> CONFIRMED;
+            case DRAINING -> DRAINING;
+            case GONE -> REMOVED;
         };
     }
 
-    /** What the disk's word makes of an entry at a start: only the feed lifts a drain or an end. */
-    static State remembered(State last) {
-        return last == LEAVING || last == GONE ? last : REMEMBERED;
+    /** Returns the state of an entry restored at start-up: only the feed can end a drain or revoke a removal. */
+    static State ofStored(State lastState) {
+        return lastState == DRAINING || lastState == REMOVED ? lastState : RESTORED;
     }
 
-    /** Where evidence leads; {@code believed} if trust in the entry, this evidence included, suffices to offer it. */
-    State after(Evidence seen, boolean believed) {
+    /**
+     * Returns the state after this evidence.
+     *
+     * @param trusted whether trust in the entry, with this evidence included, suffices to offer the engine
+     */
+    State after(Evidence evidence, boolean trusted) {
         return switch (this) {
-            case TOLD, LEAVING, GONE -> this;
-            case REMEMBERED, ILL, MISTAKEN -> seen == Evidence.MALFORMED ? MISTAKEN
-                    : !seen.isGood() ? this == MISTAKEN ? MISTAKEN : ILL : believed ? ALIVE : REMEMBERED;
-            // An engine that was seen to be one may still spoil an answer: that is no mistake about what it is.
-            case ALIVE, PROVEN -> seen.isGood() ? this : believed ? ALIVE : ILL;
+            case CONFIRMED, DRAINING, REMOVED -> this;
+            case RESTORED, UNHEALTHY, MISIDENTIFIED -> evidence == Evidence.MALFORMED ? MISIDENTIFIED
+                    : !evidence.isGood() ? this == MISIDENTIFIED ? MISIDENTIFIED : UNHEALTHY : trusted ? ALIVE : RESTORED;
+            // The process is already known to be an engine; one malformed answer does not make it misidentified.
+            case ALIVE, WARM -> evidence.isGood() ? this : trusted ? ALIVE : UNHEALTHY;
         };
     }
 
-    /** Where time leads an engine that has been seen alive for so long without a break. */
-    State afterAlive(long aliveFor, long warmWithin) {
-        return this == ALIVE && aliveFor >= warmWithin ? PROVEN : this;
+    /** Returns the state of an engine that has been observed alive without interruption for this long. */
+    State afterAliveFor(long aliveMicros, long warmUpMicros) {
+        return this == ALIVE && aliveMicros >= warmUpMicros ? WARM : this;
     }
 
-    /** Whether the module may choose it. */
+    /** Whether the decision module may send requests to the engine. */
     public boolean isOffered() {
-        return this == TOLD || this == ALIVE || this == PROVEN;
+        return this == CONFIRMED || this == ALIVE || this == WARM;
     }
 
-    /** Whether membership itself must look after it, since neither the feed nor the module does. */
-    boolean isWatched() {
-        return this == REMEMBERED || this == ILL || this == MISTAKEN;
+    /** Whether membership itself has to probe the engine, since neither the feed nor the decision module monitors it. */
+    boolean needsProbing() {
+        return this == RESTORED || this == UNHEALTHY || this == MISIDENTIFIED;
     }
 
-    /** Whether it stands only on what was remembered and seen. */
-    boolean isUntold() {
-        return isWatched() || this == ALIVE || this == PROVEN;
+    /** Whether the state rests on the stored entry and on evidence only, without a report from the feed in this run. */
+    boolean isUnconfirmed() {
+        return needsProbing() || this == ALIVE || this == WARM;
     }
 }
--- a/src/main/java/cairnline/membership/StoredEngine.java
+++ b/src/main/java/cairnline/membership/StoredEngine.java
@@ -1,15 +1,15 @@
 package cairnline.membership;
 
 /**
- * What the disk keeps of one engine. Times are microseconds on the program's clock, which counts from the Unix epoch.
+ * An entry of the stored engine list. Times are microseconds on the program's clock, which counts from the Unix epoch.
  *
- * @param engine as the feed last listed it
- * @param last what was believed of it when this was written
- * @param reportedAt when the feed last told of it
- * @param aliveAt when it was last seen alive, to within a second; 0 for never
+ * @param engine the engine as the feed last reported it
+ * @param lastState the believed state when the entry was written
+ * @param reportedAt when the feed last reported the engine
+ * @param aliveAt when the engine was last observed alive, to within a second; 0 for never
  */
-public record StoredEngine(ListedEngine engine, State last, long reportedAt, long aliveAt) {
-    /** When this was last confirmed, by the feed or by what was seen. */
+public record StoredEngine(ListedEngine engine, State lastState, long reportedAt, long aliveAt) {
+    /** Returns when the entry was last confirmed, by the feed or by an observation. */
     public long confirmedAt() {
         return Math.max(reportedAt, aliveAt);
     }
--- a/src/main/java/cairnline/membership/TrustSettings.java
+++ b/src/main/java/cairnline/membership/TrustSettings.java
@@ -1,36 +1,38 @@
 package cairnline.membership;
 
 /**
- * The limits of membership; times in microseconds.
+ * Settings of membership and its probes. All times are in microseconds.
  *
- * @param halfLife after this an entry's trust has halved
- * @param fresh trust in an entry that was confirmed just now, between 0 and 1
- * @param warmWithin an engine that has been up for so long is warm
- * @param probeWithin a probe not answered by then counts as silence
- * @param probePause between two probes of an entry that needs more evidence, and the first pause of an ill one
- * @param probePauseMost to which the pauses of an ill one grow
- * @param probesAtOnce probes that may be out
- * @param enough engines offered from which on no entry is probed for the first time
- * @param advice when to come back if nothing can be offered and no probe is due
+ * @param halfLife time after which trust in an unconfirmed entry has halved
+ * @param initialTrust trust in an entry that was confirmed just now, as a probability between 0 and 1
+ * @param warmUp time for which an engine must have been alive to count as warm
+ * @param probeTimeout time after which an unanswered probe counts as {@link Evidence#NO_ANSWER}
+ * @param probeInterval time between two probes of an entry that needs more evidence, and the first back-off of an unhealthy
+ *     one
+ * @param maxProbeInterval upper bound of the exponential back-off between probes of an unhealthy entry
+ * @param maxConcurrentProbes maximum number of probes in flight
+ * @param enoughOffered number of offered engines from which on no entry is probed for the first time
+ * @param retryAfter time after which a refused client should retry if no engine can be offered and no probe is scheduled
  */
-public record TrustSettings(long halfLife, double fresh, long warmWithin, long probeWithin, long probePause,
-                            long probePauseMost, int probesAtOnce, int enough, long advice) {
-    private static final long MILLI = 1_000;
-    private static final long SECOND = 1_000_000;
-    private static final long HOUR = 3_600 * SECOND;
+public record TrustSettings(long halfLife, double initialTrust, long warmUp, long probeTimeout, long probeInterval,
+                            long maxProbeInterval, int maxConcurrentProbes, int enoughOffered, long retryAfter) {
+    private static final long MILLI_MICROS = 1_000;
+    private static final long SECOND_MICROS = 1_000_000;
+    private static final long HOUR_MICROS = 3_600 * SECOND_MICROS;
 
-    /** Rejects what contradicts itself; the settings' schema tells it first, with its place. */
+    /** Rejects values that are out of range; the schema of the settings file reports them earlier, with their position. */
     public TrustSettings {
-        if (halfLife <= 0 || fresh <= 0 || fresh >= 1 || warmWithin < 0 || probeWithin <= 0 || probePause <= 0
-                || probePauseMost < probePause || probesAtOnce < 1 || enough < 1 || advice <= 0) {
-            throw new IllegalArgumentException("trust settings out of range: " + halfLife + " " + fresh + " "
-                    + warmWithin + " " + probeWithin + " " + probePause + " " + probePauseMost + " " + probesAtOnce
-                    + " " + enough + " " + advice);
+        if (halfLife <= 0 || initialTrust <= 0 || initialTrust >= 1 || warmUp < 0 || probeTimeout <= 0 || probeInterval <= 0
+                || maxProbeInterval < probeInterval || maxConcurrentProbes < 1 || enoughOffered < 1 || retryAfter <= 0) {
+            throw new IllegalArgumentException("trust settings out of range: " + halfLife + " " + initialTrust + " "
+                    + warmUp + " " + probeTimeout + " " + probeInterval + " " + maxProbeInterval + " " + maxConcurrentProbes
+                    + " " + enoughOffered + " " + retryAfter);
         }
     }
 
-    /** What holds where nothing is set, for engines that are warm within this time. */
-    public static TrustSettings usual(long warmWithin) {
-        return new TrustSettings(6 * HOUR, 0.95, warmWithin, 400 * MILLI, 100 * MILLI, 5 * SECOND, 64, 1_024, SECOND);
+    /** Returns the defaults, for engines with this warm-up period in microseconds. */
+    public static TrustSettings defaults(long warmUp) {
+        return new TrustSettings(6 * HOUR_MICROS, 0.95, warmUp, 400 * MILLI_MICROS, 100 * MILLI_MICROS, 5 * SECOND_MICROS, 64,
+                1_024, SECOND_MICROS);
     }
 }
--- a/src/test/java/cairnline/membership/MembershipTest.java
+++ b/src/test/java/cairnline/membership/MembershipTest.java
@@ -13,224 +13,233 @@
 import org.junit.jupiter.api.Test;
 
 class MembershipTest {
-    private static final long MS = 1_000;
-    private static final long SECOND = 1_000 * MS;
-    private static final long HOUR = 3_600 * SECOND;
-    private static final long NOW = 1_000_000 * HOUR;
-    private static final long WARM = 15 * SECOND;
+    private static final long MILLI_MICROS = 1_000;
+    private static final long SECOND_MICROS = 1_000 * MILLI_MICROS;
+    private static final long HOUR_MICROS = 3_600 * SECOND_MICROS;
+    private static final long NOW_MICROS = 1_000_000 * HOUR_MICROS;
+    private static final long WARM_UP_MICROS = 15 * SECOND_MICROS;
 
-    private final TrustSettings settings = TrustSettings.defaults(WARM);
+    private final TrustSettings settings = TrustSettings.defaults(WARM_UP_MICROS);
     private final Membership membership = new Membership(settings);
 
-    private static ListedEngine engine(String id, Listed listed) {
-        return new ListedEngine(id, "127.0.0.1:" + (7_000 + id.charAt(1)), listed, "dc1", "std16", 0, 1, 0);
+    private static ListedEngine engine(String id, Listed status) {
+        return new ListedEngine(id, "127.0.0.1:" + (7_000 + id.charAt(1)), status, "dc1", "std16", 0, 1, 0);
     }
 
-    private static StoredEngine kept(String id, State last, long age) {
-        Listed listed = last == State.DRAINING ? Listed.DRAINING : last == State.REMOVED ? Listed.GONE : Listed.READY;
-        return new StoredEngine(engine(id, listed), last, NOW - age, 0);
+    private static StoredEngine stored(String id, State lastState, long age) {
+        Listed status = lastState == State.DRAINING ? Listed.DRAINING
+                : lastState == State.REMOVED ? Listed.GONE : Listed.READY;
+        return new StoredEngine(engine(id, status), lastState, NOW_MICROS - age, 0);
     }
 
-    private void restore(StoredEngine... kept) {
-        membership.restore(NOW, List.of(kept));
+    private void restore(StoredEngine... storedEngines) {
+        membership.restore(NOW_MICROS, List.of(storedEngines));
     }
 
-    /** All that are asked now, in their order. */
-    private List<String> asked(long now) {
-        List<String> asked = new ArrayList<>();
-        for (String id = membership.probe(now); id != null; id = membership.probe(now)) {
-            asked.add(id);
+    /** Returns the ids of all engines that are to be probed now, in order. */
+    private List<String> dueProbes(long now) {
+        List<String> ids = new ArrayList<>();
+        for (String id = membership.nextProbe(now); id != null; id = membership.nextProbe(now)) {
+            ids.add(id);
         }
-        return asked;
+        return ids;
     }
 
-    private Listed offered(String id) {
-        return membership.offer(engine(id, Listed.GONE)).listed();
+    private Listed offeredStatus(String id) {
+        return membership.offerFor(engine(id, Listed.GONE)).status();
     }
 
     @Test
-    void whatTheFeedTellsIsOfferedAsItIs() {
-        ListedEngine told = engine("e1", Listed.READY);
-        assertEquals(List.of(told), membership.told(NOW, true, List.of(told)));
-        assertEquals(told, membership.offer(told));
+    void offersReportedEnginesUnchanged() {
+        ListedEngine reported = engine("e1", Listed.READY);
+        assertEquals(List.of(reported), membership.applyUpdate(NOW_MICROS, true, List.of(reported)));
+        assertEquals(reported, membership.offerFor(reported));
         for (Evidence each : Evidence.values()) {
-            assertNull(membership.seen(NOW, "e1", each), "the module alone judges what is told");
+            assertNull(membership.observe(NOW_MICROS, "e1", each), "only the decision module judges a confirmed engine");
         }
-        assertEquals(Long.MAX_VALUE, membership.due(NOW));
-        assertEquals(0, membership.comeBack(NOW));
+        assertEquals(Long.MAX_VALUE, membership.nextEventAt(NOW_MICROS));
+        assertEquals(0, membership.retryAfter(NOW_MICROS));
     }
 
     @Test
-    void aRememberedEngineIsOfferedAsJustStartedOnceItAnswers() {
-        restore(kept("e1", State.CONFIRMED, 10 * SECOND));
-        assertEquals(Listed.DRAINING, offered("e1"));
-        assertEquals(List.of("e1"), asked(NOW));
-        ListedEngine offer = membership.seen(NOW + 3 * MS, "e1", Evidence.PROBE_ANSWERED);
-        assertEquals(Listed.READY, offer.listed());
-        assertEquals(NOW + 3 * MS, offer.startedAt(), "it may be as cold as one that started when it was first seen");
-        assertTrue(!offer.sure(), "and may be the last to warm up");
-        assertNull(membership.seen(NOW + 4 * MS, "e1", Evidence.REQUEST_SERVED), "nothing new to tell the module");
-        assertTrue(membership.turn(NOW + 3 * MS + WARM).isEmpty());
-        assertEquals(State.WARM, membership.state("e1"));
+    void offersRestoredEngineAsJustStartedOnceItAnswers() {
+        restore(stored("e1", State.CONFIRMED, 10 * SECOND_MICROS));
+        assertEquals(Listed.DRAINING, offeredStatus("e1"));
+        assertEquals(List.of("e1"), dueProbes(NOW_MICROS));
+        ListedEngine offer = membership.observe(NOW_MICROS + 3 * MILLI_MICROS, "e1", Evidence.PROBE_ANSWERED);
+        assertEquals(Listed.READY, offer.status());
+        assertEquals(NOW_MICROS + 3 * MILLI_MICROS, offer.startedAt(),
+                "it may be as cold as an engine that started when it was first observed");
+        assertTrue(!offer.startTimeKnown(), "and it may become warm only at the last permitted moment");
+        assertNull(membership.observe(NOW_MICROS + 4 * MILLI_MICROS, "e1", Evidence.REQUEST_SERVED),
+                "the offer to the decision module has not changed");
+        assertTrue(membership.advanceTime(NOW_MICROS + 3 * MILLI_MICROS + WARM_UP_MICROS).isEmpty());
+        assertEquals(State.WARM, membership.stateOf("e1"));
     }
 
     @Test
-    void anOldEntryNeedsMoreEvidenceThanAFreshOne() {
+    void requiresMoreEvidenceForOlderEntries() {
         long[] ages = {0, 2 * settings.halfLife(), 5 * settings.halfLife(), 400 * settings.halfLife()};
         int[] answersNeeded = {1, 1, 2, 3};
         for (int i = 0; i < ages.length; i++) {
-            Membership each = new Membership(settings);
-            each.restore(NOW, List.of(kept("e1", State.CONFIRMED, ages[i])));
+            Membership restored = new Membership(settings);
+            restored.restore(NOW_MICROS, List.of(stored("e1", State.CONFIRMED, ages[i])));
             int answers = 0;
-            while (each.state("e1") == State.RESTORED) {
-                each.seen(NOW + ++answers, "e1", Evidence.PROBE_ANSWERED);
+            while (restored.stateOf("e1") == State.RESTORED) {
+                restored.observe(NOW_MICROS + ++answers, "e1", Evidence.PROBE_ANSWERED);
             }
             assertEquals(answersNeeded[i], answers, "age " + ages[i]);
         }
     }
 
     @Test
-    void aClockThatWasSetBackMakesNoEntryYounger() {
-        restore(kept("e1", State.CONFIRMED, settings.halfLife()), kept("e2", State.CONFIRMED, -settings.halfLife()));
-        assertEquals(membership.trust("e1"), membership.trust("e2"), 1e-9);
-        assertTrue(membership.trust("e2") < settings.fresh());
+    void trustsEntryFromTheFutureNoMoreThanOneOfTheSameAge() {
+        restore(stored("e1", State.CONFIRMED, settings.halfLife()), stored("e2", State.CONFIRMED, -settings.halfLife()));
+        assertEquals(membership.trustIn("e1"), membership.trustIn("e2"), 1e-9);
+        assertTrue(membership.trustIn("e2") < settings.initialTrust());
     }
 
     @Test
-    void theMostTrustedIsAskedFirstAndNoMoreAtOnceThanAllowed() {
+    void probesMostTrustedFirstAndLimitsConcurrentProbes() {
         StoredEngine[] many = IntStream.range(0, 200).mapToObj(i -> new StoredEngine(new ListedEngine("e" + i,
-                "127.0.0.1:" + (2_000 + i), Listed.READY, "dc1", "std16", 0, 1, 0), State.CONFIRMED, NOW - i * HOUR, 0))
+                "127.0.0.1:" + (2_000 + i), Listed.READY, "dc1", "std16", 0, 1, 0), State.CONFIRMED,
+                NOW_MICROS - i * HOUR_MICROS, 0))
                 .toArray(StoredEngine[]::new);
         restore(many);
-        List<String> first = asked(NOW);
-        assertEquals(IntStream.range(0, settings.probesAtOnce()).mapToObj(i -> "e" + i).toList(), first);
-        membership.seen(NOW + MS, "e0", Evidence.PROBE_ANSWERED);
-        assertEquals(List.of("e" + settings.probesAtOnce()), asked(NOW + MS));
+        List<String> first = dueProbes(NOW_MICROS);
+        assertEquals(IntStream.range(0, settings.maxConcurrentProbes()).mapToObj(i -> "e" + i).toList(), first);
+        membership.observe(NOW_MICROS + MILLI_MICROS, "e0", Evidence.PROBE_ANSWERED);
+        assertEquals(List.of("e" + settings.maxConcurrentProbes()), dueProbes(NOW_MICROS + MILLI_MICROS));
     }
 
     @Test
-    void enoughOfferedEnginesLeaveTheRestAlone() {
-        TrustSettings few = new TrustSettings(HOUR, 0.9, WARM, 400 * MS, 100 * MS, SECOND, 4, 2, SECOND);
-        Membership each = new Membership(few);
-        each.restore(NOW, List.of(kept("e1", State.CONFIRMED, 0), kept("e2", State.CONFIRMED, MS), kept("e3", State.CONFIRMED, HOUR)));
+    void probesNoFurtherEntriesWhileEnoughEnginesAreOffered() {
+        TrustSettings twoSuffice = new TrustSettings(HOUR_MICROS, 0.9, WARM_UP_MICROS, 400 * MILLI_MICROS, 100 * MILLI_MICROS,
+                SECOND_MICROS, 4, 2, SECOND_MICROS);
+        Membership restored = new Membership(twoSuffice);
+        restored.restore(NOW_MICROS, List.of(stored("e1", State.CONFIRMED, 0), stored("e2", State.CONFIRMED, MILLI_MICROS),
+                stored("e3", State.CONFIRMED, HOUR_MICROS)));
         for (String id : List.of("e1", "e2")) {
-            assertEquals(id, each.probe(NOW));
-            each.seen(NOW, id, Evidence.PROBE_ANSWERED);
+            assertEquals(id, restored.nextProbe(NOW_MICROS));
+            restored.observe(NOW_MICROS, id, Evidence.PROBE_ANSWERED);
         }
-        assertNull(each.probe(NOW));
-        // One of them ends: the next in line is asked.
-        each.seen(NOW + MS, "e1", Evidence.CONNECTION_REFUSED);
-        each.seen(NOW + MS, "e1", Evidence.CONNECTION_REFUSED);
-        assertEquals("e3", each.probe(NOW + MS));
+        assertNull(restored.nextProbe(NOW_MICROS));
+        // Once one of them is no longer offered, the next entry is probed.
+        restored.observe(NOW_MICROS + MILLI_MICROS, "e1", Evidence.CONNECTION_REFUSED);
+        restored.observe(NOW_MICROS + MILLI_MICROS, "e1", Evidence.CONNECTION_REFUSED);
+        assertEquals("e3", restored.nextProbe(NOW_MICROS + MILLI_MICROS));
     }
 
     @Test
-    void silenceIsNotedWhenItsTimeIsUpAndAskedAgainAtGrowingPauses() {
-        restore(kept("e1", State.CONFIRMED, 0));
-        List<Long> pauses = new ArrayList<>();
-        long now = NOW;
+    void marksEngineUnhealthyOnProbeTimeoutAndRetriesWithBackoff() {
+        restore(stored("e1", State.CONFIRMED, 0));
+        List<Long> backoffsMillis = new ArrayList<>();
+        long now = NOW_MICROS;
         for (int i = 0; i < 9; i++) {
-            assertEquals(List.of("e1"), asked(now));
-            long silent = membership.due(now);
-            assertEquals(now + settings.probeWithin(), silent);
-            membership.turn(silent);
-            assertEquals(State.UNHEALTHY, membership.state("e1"));
-            now = membership.due(silent);
-            assertEquals(now - silent, membership.comeBack(silent), "when to come back is when it is asked next");
-            pauses.add((now - silent) / MS);
+            assertEquals(List.of("e1"), dueProbes(now));
+            long timeoutAt = membership.nextEventAt(now);
+            assertEquals(now + settings.probeTimeout(), timeoutAt);
+            membership.advanceTime(timeoutAt);
+            assertEquals(State.UNHEALTHY, membership.stateOf("e1"));
+            now = membership.nextEventAt(timeoutAt);
+            assertEquals(now - timeoutAt, membership.retryAfter(timeoutAt), "clients are to retry when the next probe is due");
+            backoffsMillis.add((now - timeoutAt) / MILLI_MICROS);
         }
-        assertEquals(List.of(100L, 200L, 400L, 800L, 1_600L, 3_200L, 5_000L, 5_000L, 5_000L), pauses);
-        membership.seen(now, "e1", Evidence.PROBE_ANSWERED);
-        membership.seen(now, "e1", Evidence.PROBE_ANSWERED);
-        membership.seen(now, "e1", Evidence.PROBE_ANSWERED);
-        assertEquals(State.ALIVE, membership.state("e1"), "a late answer is an answer");
-        assertEquals(0, membership.comeBack(now));
+        assertEquals(List.of(100L, 200L, 400L, 800L, 1_600L, 3_200L, 5_000L, 5_000L, 5_000L), backoffsMillis);
+        membership.observe(now, "e1", Evidence.PROBE_ANSWERED);
+        membership.observe(now, "e1", Evidence.PROBE_ANSWERED);
+        membership.observe(now, "e1", Evidence.PROBE_ANSWERED);
+        assertEquals(State.ALIVE, membership.stateOf("e1"), "a late answer counts as an answer");
+        assertEquals(0, membership.retryAfter(now));
     }
 
     @Test
-    void whatEndedOrDrainedGetsNothingHoweverOldAndWhateverItAnswers() {
-        restore(kept("e1", State.DRAINING, 1_000 * settings.halfLife()), kept("e2", State.REMOVED, 0));
-        assertNull(membership.state("e2"));
-        assertTrue(asked(NOW).isEmpty());
+    void neverOffersDrainingOrRemovedEngineWithoutReportFromFeed() {
+        restore(stored("e1", State.DRAINING, 1_000 * settings.halfLife()), stored("e2", State.REMOVED, 0));
+        assertNull(membership.stateOf("e2"));
+        assertTrue(dueProbes(NOW_MICROS).isEmpty());
         for (int i = 0; i < 10; i++) {
-            assertNull(membership.seen(NOW + i, "e1", Evidence.REQUEST_SERVED));
+            assertNull(membership.observe(NOW_MICROS + i, "e1", Evidence.REQUEST_SERVED));
         }
-        assertEquals(Listed.DRAINING, offered("e1"));
-        assertEquals(settings.advice(), membership.comeBack(NOW), "nothing can be offered");
+        assertEquals(Listed.DRAINING, offeredStatus("e1"));
+        assertEquals(settings.retryAfter(), membership.retryAfter(NOW_MICROS), "nothing can be offered");
     }
 
     @Test
-    void whatIsNoEngineIsToldApartFromAnEngineThatSpoilsAnAnswer() {
-        restore(kept("e1", State.CONFIRMED, 0), kept("e2", State.CONFIRMED, 0));
-        membership.seen(NOW, "e1", Evidence.MALFORMED);
-        assertEquals(State.MISIDENTIFIED, membership.state("e1"));
-        membership.seen(NOW, "e1", Evidence.CONNECTION_REFUSED);
-        assertEquals(State.MISIDENTIFIED, membership.state("e1"), "it stays known as that");
-        membership.seen(NOW, "e2", Evidence.PROBE_ANSWERED);
-        membership.seen(NOW, "e2", Evidence.REQUEST_SERVED);
-        membership.seen(NOW, "e2", Evidence.REQUEST_SERVED);
-        membership.seen(NOW, "e2", Evidence.MALFORMED);
-        assertEquals(State.ALIVE, membership.state("e2"));
+    void distinguishesForeignProcessFromEngineWithMalformedAnswer() {
+        restore(stored("e1", State.CONFIRMED, 0), stored("e2", State.CONFIRMED, 0));
+        membership.observe(NOW_MICROS, "e1", Evidence.MALFORMED);
+        assertEquals(State.MISIDENTIFIED, membership.stateOf("e1"));
+        membership.observe(NOW_MICROS, "e1", Evidence.CONNECTION_REFUSED);
+        assertEquals(State.MISIDENTIFIED, membership.stateOf("e1"), "it stays known as a foreign process");
+        membership.observe(NOW_MICROS, "e2", Evidence.PROBE_ANSWERED);
+        membership.observe(NOW_MICROS, "e2", Evidence.REQUEST_SERVED);
+        membership.observe(NOW_MICROS, "e2", Evidence.REQUEST_SERVED);
+        membership.observe(NOW_MICROS, "e2", Evidence.MALFORMED);
+        assertEquals(State.ALIVE, membership.stateOf("e2"));
     }
 
     @Test
-    void aBrokenConnectionMakesItColdOnceMore() {
-        restore(kept("e1", State.CONFIRMED, 0));
-        membership.seen(NOW, "e1", Evidence.PROBE_ANSWERED);
-        membership.turn(NOW + WARM);
-        assertEquals(State.WARM, membership.state("e1"));
-        ListedEngine offer = membership.seen(NOW + WARM + 7, "e1", Evidence.CONNECTION_RESET);
+    void restartsWarmUpAfterConnectionReset() {
+        restore(stored("e1", State.CONFIRMED, 0));
+        membership.observe(NOW_MICROS, "e1", Evidence.PROBE_ANSWERED);
+        membership.advanceTime(NOW_MICROS + WARM_UP_MICROS);
+        assertEquals(State.WARM, membership.stateOf("e1"));
+        ListedEngine offer = membership.observe(NOW_MICROS + WARM_UP_MICROS + 7, "e1", Evidence.CONNECTION_RESET);
         assertNotNull(offer);
-        assertEquals(NOW + WARM + 7, offer.startedAt());
-        assertEquals(State.ALIVE, membership.state("e1"));
-        assertTrue(membership.turn(NOW + 2 * WARM).isEmpty());
-        assertEquals(State.ALIVE, membership.state("e1"), "its warmth of before counts no more");
+        assertEquals(NOW_MICROS + WARM_UP_MICROS + 7, offer.startedAt());
+        assertEquals(State.ALIVE, membership.stateOf("e1"));
+        assertTrue(membership.advanceTime(NOW_MICROS + 2 * WARM_UP_MICROS).isEmpty());
+        assertEquals(State.ALIVE, membership.stateOf("e1"), "the time alive before the reset does not count");
     }
 
     @Test
-    void theFirstWholeListReplacesAllThatWasRemembered() {
-        restore(kept("e1", State.CONFIRMED, 0), kept("e2", State.CONFIRMED, 0), kept("e3", State.CONFIRMED, 0));
-        membership.seen(NOW, "e1", Evidence.PROBE_ANSWERED);
-        membership.told(NOW + MS, true, List.of(engine("e1", Listed.READY), engine("e2", Listed.DRAINING)));
-        assertEquals(State.CONFIRMED, membership.state("e1"));
-        assertEquals(0, membership.offer(engine("e1", Listed.READY)).startedAt(), "the feed knows since when it runs");
-        assertEquals(State.DRAINING, membership.state("e2"));
-        assertNull(membership.state("e3"));
-        assertTrue(membership.takeUrgent());
-        assertTrue(asked(NOW + SECOND).isEmpty());
-        assertTrue(membership.restore(NOW + SECOND, List.of(kept("e4", State.CONFIRMED, 0))).isEmpty(), "too late");
+    void firstCompleteListReplacesRestoredEntries() {
+        restore(stored("e1", State.CONFIRMED, 0), stored("e2", State.CONFIRMED, 0), stored("e3", State.CONFIRMED, 0));
+        membership.observe(NOW_MICROS, "e1", Evidence.PROBE_ANSWERED);
+        membership.applyUpdate(NOW_MICROS + MILLI_MICROS, true,
+                List.of(engine("e1", Listed.READY), engine("e2", Listed.DRAINING)));
+        assertEquals(State.CONFIRMED, membership.stateOf("e1"));
+        assertEquals(0, membership.offerFor(engine("e1", Listed.READY)).startedAt(),
+                "the start time that the feed reports takes precedence");
+        assertEquals(State.DRAINING, membership.stateOf("e2"));
+        assertNull(membership.stateOf("e3"));
+        assertTrue(membership.takeUrgentChange());
+        assertTrue(dueProbes(NOW_MICROS + SECOND_MICROS).isEmpty());
+        assertTrue(membership.restore(NOW_MICROS + SECOND_MICROS, List.of(stored("e4", State.CONFIRMED, 0))).isEmpty(),
+                "a list restored after the feed has reported is ignored");
     }
 
     @Test
-    void anAddressGivenToANewEngineEndsTheOneRememberedThere() {
-        restore(kept("e1", State.CONFIRMED, 0), kept("e2", State.CONFIRMED, 0));
-        ListedEngine next = new ListedEngine("n1", engine("e1", Listed.READY).address(), Listed.READY, "dc1", "std16",
+    void removesRestoredEngineWhoseAddressIsReportedForAnotherEngine() {
+        restore(stored("e1", State.CONFIRMED, 0), stored("e2", State.CONFIRMED, 0));
+        ListedEngine replacement = new ListedEngine("n1", engine("e1", Listed.READY).address(), Listed.READY, "dc1", "std16",
                 0, 1, 0);
-        List<ListedEngine> entries = membership.told(NOW, false, List.of(next));
+        List<ListedEngine> entries = membership.applyUpdate(NOW_MICROS, false, List.of(replacement));
         assertEquals(List.of("n1", "e1"), entries.stream().map(ListedEngine::id).toList());
-        assertEquals(Listed.GONE, entries.get(1).listed());
-        assertNull(membership.state("e1"));
-        assertEquals(State.RESTORED, membership.state("e2"));
+        assertEquals(Listed.GONE, entries.get(1).status());
+        assertNull(membership.stateOf("e1"));
+        assertEquals(State.RESTORED, membership.stateOf("e2"));
     }
 
     @Test
-    void aDrainIsUrgentToKeepAndAServedRequestIsNot() {
-        membership.told(NOW, true, List.of(engine("e1", Listed.READY)));
-        assertTrue(membership.takeUrgent());
-        membership.seen(NOW, "e1", Evidence.REQUEST_SERVED);
-        assertTrue(!membership.takeUrgent());
-        membership.told(NOW, false, List.of(engine("e1", Listed.DRAINING)));
-        assertTrue(membership.takeUrgent());
-        assertEquals(State.DRAINING, membership.view(NOW).remembered().get(0).last());
+    void drainIsUrgentToStoreButServedRequestIsNot() {
+        membership.applyUpdate(NOW_MICROS, true, List.of(engine("e1", Listed.READY)));
+        assertTrue(membership.takeUrgentChange());
+        membership.observe(NOW_MICROS, "e1", Evidence.REQUEST_SERVED);
+        assertTrue(!membership.takeUrgentChange());
+        membership.applyUpdate(NOW_MICROS, false, List.of(engine("e1", Listed.DRAINING)));
+        assertTrue(membership.takeUrgentChange());
+        assertEquals(State.DRAINING, membership.view(NOW_MICROS).storedEngines().get(0).lastState());
     }
 
-    /** Each state, what may come, and where it leads: the drawing in docs/membership.md, as a table. */
+    /** Checks the transitions that the diagram in docs/membership.md shows. */
     @Test
-    void theStateMachineIsAsDrawn() {
+    void evidenceLeadsToDocumentedStates() {
         for (State state : Set.of(State.CONFIRMED, State.DRAINING, State.REMOVED)) {
-            for (Evidence seen : Evidence.values()) {
-                assertEquals(state, state.after(seen, true));
-                assertEquals(state, state.after(seen, false));
+            for (Evidence evidence : Evidence.values()) {
+                assertEquals(state, state.after(evidence, true));
+                assertEquals(state, state.after(evidence, false));
             }
         }
         for (State state : Set.of(State.RESTORED, State.UNHEALTHY)) {
