--- a/src/main/java/cairnline/routing/Actor.java
+++ b/src/main/java/cairnline/routing/Actor.java
@@ -6,33 +6,39 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** A thread with a bounded mailbox. Each turn it reads the clock once and takes the letters that are there. */
+/**
+ * A thread with a bounded mailbox of tasks. In each turn it reads the clock once and runs the tasks that are in the
+ * mailbox. Tasks can be submitted from any thread.
+ */
 public final class Actor {
-    /** What happens round the letters of a turn. */
+    /** Callbacks before and after the tasks of a turn. Called on the actor's thread. */
     public interface Handler {
-        /** A turn begins, at this time. */
-        void begin(long now);
+        /** Called at the start of a turn, with the time in microseconds. */
+        void beginTurn(long now);
 
-        /** The letters are done; gives the time of the next turn, should no letter come. */
-        long end(long now);
+        /** Called after the tasks of a turn; returns the time of the next turn in case no task arrives before. */
+        long endTurn(long now);
     }
 
-    /** Next turn, in microseconds, should the end of one have failed. */
-    private static final long RETRY = 10_000;
+    /** Delay of the next turn after {@link Handler#endTurn} has failed. */
+    private static final long FAILED_TURN_DELAY_MICROS = 10_000;
 
     private final BlockingQueue<Runnable> mailbox;
-    private final int lettersATurn;
+    private final int maxTasksPerTurn;
     private final Clock clock;
-    private final Handler turns;
+    private final Handler handler;
     private final Thread thread;
     private volatile boolean stopped;
 
-    /** An actor that does not run yet; one whose letters may block takes one a turn, so that its time is true. */
-    public Actor(String name, int mailboxSize, int lettersATurn, int stackBytes, Clock clock, Handler turns) {
-        this.lettersATurn = lettersATurn;
+    /**
+     * Creates an actor that is not started yet. An actor whose tasks may block should run one task per turn, so that the
+     * time of the turn is current.
+     */
+    public Actor(String name, int mailboxSize, int maxTasksPerTurn, int stackBytes, Clock clock, Handler handler) {
+        this.maxTasksPerTurn = maxTasksPerTurn;
         this.mailbox = new ArrayBlockingQueue<>(mailboxSize);
         this.clock = clock;
-        this.turns = turns;
+        this.handler = handler;
         this.thread = new Thread(null, CriticalThread.wrap(this::run), name, stackBytes);
         thread.setDaemon(true);
     }
@@ -42,10 +48,10 @@
         thread.start();
     }
 
-    /** Leaves a letter, waiting for room; for threads that can stand still. */
-    public void put(Runnable letter) {
+    /** Submits a task and waits while the mailbox is full; for threads that may block. */
+    public void put(Runnable task) {
         try {
-            while (!stopped && !mailbox.offer(letter, 1, TimeUnit.SECONDS)) {
+            while (!stopped && !mailbox.offer(task, 1, TimeUnit.SECONDS)) {
                 Thread.onSpinWait();
             }
         } catch (InterruptedException e) {
@@ -53,45 +59,48 @@
         }
     }
 
-    /** Leaves a letter if there is room; for threads that must not stand still. */
-    public boolean offer(Runnable letter) {
-        return !stopped && mailbox.offer(letter);
+    /** Submits a task unless the mailbox is full or the actor has stopped; for threads that must not block. */
+    public boolean offer(Runnable task) {
+        return !stopped && mailbox.offer(task);
     }
 
-    /** Ends the thread after the letters of this turn. */
+    /** Stops the thread after the tasks of the current turn. */
     public void stop() {
         stopped = true;
         mailbox.offer(() -> { });
     }
 
     private void run() {
-        List<Runnable> letters = new ArrayList<>();
-        long next = clock.micros();
-        long now = next;
+        List<Runnable> tasks = new ArrayList<>();
+        long nextTurnAt = clock.micros();
+        long now = nextTurnAt;
         while (!stopped) {
             try {
-                Runnable first = next == Long.MAX_VALUE ? mailbox.take()
-                        : mailbox.poll(next - now, TimeUnit.MICROSECONDS);
+                Runnable first = nextTurnAt == Long.MAX_VALUE ? mailbox.take()
+                        : mailbox.poll(nextTurnAt - now, TimeUnit.MICROSECONDS);
                 if (first != null) {
-                    letters.add(first);
-                    mailbox.drainTo(letters, lettersATurn - 1);
+                    tasks.add(first);
+                    mailbox.drainTo(tasks, maxTasksPerTurn - 1);
                 }
             } catch (InterruptedException e) {
                 return;
             }
             now = clock.micros();
-            long time = now;
-            guarded(() -> turns.begin(time));
-            letters.forEach(Actor::guarded);
-            letters.clear();
-            long[] due = {now + RETRY};
-            guarded(() -> due[0] = turns.end(time));
-            next = due[0];
+            long turnTime = now;
+            runGuarded(() -> handler.beginTurn(turnTime));
+            tasks.forEach(Actor::runGuarded);
+            tasks.clear();
+            long[] next = {now + FAILED_TURN_DELAY_MICROS};
+            runGuarded(() -> next[0] = handler.endTurn(turnTime));
+            nextTurnAt = next[0];
         }
     }
 
-    /** One bad letter must not end the actor, and with it all that waits for it. */
-    public static void guarded(Runnable task) {
+    /**
+     * Runs a task and passes what it throws to the thread's handler of uncaught exceptions: one failing task must not
+     * terminate the actor, on which all others depend.
+     */
+    public static void runGuarded(Runnable task) {
         try {
             task.run();
         } catch (RuntimeException | OutOfMemoryError e) {
--- a/src/main/java/cairnline/routing/Attempt.java
+++ b/src/main/java/cairnline/routing/Attempt.java
@@ -2,76 +2,86 @@
 
 import cairnline.control.ControlApi.End;
 
-/** One send of a request to one engine. Identity tells attempts apart, so no answer can be taken for another's. */
+/**
+ * One attempt to serve a request on one engine. Attempts are compared by identity, so that a late answer to one is never
+ * taken for the answer to another. Times are microseconds on the program's clock.
+ */
 public final class Attempt {
     private final Request request;
     private final String engine;
     private final int number;
     private final long sentAt;
-    private final long endsAt;
+    private final long deadline;
     private final int priority;
     private volatile boolean wanted = true;
 
-    Attempt(Request request, String engine, int number, long sentAt, long endsAt, int priority) {
+    Attempt(Request request, String engine, int number, long sentAt, long deadline, int priority) {
         this.request = request;
         this.engine = engine;
         this.number = number;
         this.sentAt = sentAt;
-        this.endsAt = endsAt;
+        this.deadline = deadline;
         this.priority = priority;
     }
 
-    /** How an attempt ended; {@code work} in microseconds and {@code memory} in megabytes, 0 where not told. */
-    public record Result(End end, byte[] rows, long work, double memory) {
+    /**
+     * The result of an attempt.
+     *
+     * @param status how the attempt ended
+     * @param rows the rows; empty unless the status is OK
+     * @param work the work that the engine reported, in microseconds; 0 if it reported none
+     * @param memory the memory that the engine reported, in megabytes; 0 if it reported none
+     */
+    public record Result(End status, byte[] rows, long work, double memory) {
         private static final byte[] NO_ROWS = {};
 
-        /** An end without rows. */
-        public static Result of(End end) {
-            return new Result(end, NO_ROWS, 0, 0);
+        /** Returns a result without rows. */
+        public static Result of(End status) {
+            return new Result(status, NO_ROWS, 0, 0);
         }
     }
 
-    /** What it is an attempt of. */
+    /** Returns the request that this attempt is to serve. */
     public Request request() {
         return request;
     }
 
-    /** Id of the engine that it goes to. */
+    /** Returns the id of the engine to which the attempt is sent. */
     public String engine() {
         return engine;
     }
 
-    /** Its place among the attempts of its request, from 0. */
+    /** Returns the index of this attempt among the attempts of its request, from 0. */
     public int number() {
         return number;
     }
 
-    /** When the core handed it to the link. */
+    /** Returns when the dispatcher handed the attempt to the engine's link. */
     public long sentAt() {
         return sentAt;
     }
 
-    /** When the core gives it up. */
-    public long endsAt() {
-        return endsAt;
+    /** Returns when the dispatcher gives up the attempt. */
+    public long deadline() {
+        return deadline;
     }
 
-    /** 0 to 3; 1 is usual. */
+    /** Returns the priority from 0 to 3; 1 is the default. */
     public int priority() {
         return priority;
     }
 
-    /** False once nobody waits for its answer; read by links on their own threads. */
-    public boolean wanted() {
+    /** Whether anybody still waits for the answer. Safe to call on any thread. */
+    public boolean isWanted() {
         return wanted && request.isWaitedFor();
     }
 
-    /** Whether it may still leave; read by links on their own threads. */
-    public boolean mayBegin() {
-        return wanted && request.mayBegin();
+    /** Whether the attempt may still be sent to the engine. Safe to call on any thread. */
+    public boolean mayStart() {
+        return wanted && request.mayStartAttempt();
     }
 
-    void unwanted() {
+    void markUnwanted() {
         wanted = false;
     }
 }
--- a/src/main/java/cairnline/routing/CriticalThread.java
+++ b/src/main/java/cairnline/routing/CriticalThread.java
@@ -1,13 +1,13 @@
 package cairnline.routing;
 
 /**
- * A thread without which the program serves nobody, though its process would live on: what ends the thread is to end the
- * process. Whoever handles uncaught errors tells it from the end of any other thread by {@link Terminated}.
+ * Marks the failure of a thread without which the program cannot serve, although its process would live on. The handler of
+ * uncaught errors recognises {@link Terminated} and terminates the process.
  */
 public final class CriticalThread {
     private CriticalThread() { }
 
-    /** Such a thread has ended, for this reason. */
+    /** Thrown when a critical thread terminates; the cause says why. */
     public static final class Terminated extends Error {
         private static final long serialVersionUID = 1L;
 
@@ -16,8 +16,8 @@
         }
     }
 
-    /** The same task for such a thread. */
-    public static Runnable task(Runnable task) {
+    /** Wraps the task of a critical thread so that whatever it throws is reported as {@link Terminated}. */
+    public static Runnable wrap(Runnable task) {
         return () -> {
             try {
                 task.run();
--- a/src/main/java/cairnline/routing/Dispatcher.java
+++ b/src/main/java/cairnline/routing/Dispatcher.java
@@ -9,8 +9,8 @@
 import cairnline.control.ControlApi.NoteKind;
 import cairnline.control.ControlApi.Outcome;
 import cairnline.control.ControlApi.Settings;
-import cairnline.membership.Evidence;
 import cairnline.membership.EngineListStore;
+import cairnline.membership.Evidence;
 import cairnline.membership.ListedEngine;
 import cairnline.membership.Membership;
 import cairnline.membership.StoredEngine;
@@ -21,16 +21,18 @@
 import java.util.IdentityHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.function.Consumer;
 import java.util.function.BiFunction;
+import java.util.function.Consumer;
 
 /**
- * The module's actor: owns the open requests, their attempts and all timers, tells the module what happens and
- * carries out what it asks. It knows no wire. What other threads call only leaves a letter.
+ * The actor of the decision module. It owns the open requests, their attempts and all timers, reports events to the module
+ * and carries out the module's actions. It is independent of any protocol.
+ *
+ * <p>The methods for other threads only submit a task to the actor's mailbox; all state is confined to the actor's thread.
  */
 public final class Dispatcher implements Actor.Handler, Actions {
-    private static final String STOPS = "this workload manager stops";
-    private static final String NO_ENGINE = "no engine that is remembered can be reached";
+    private static final String STOPPING_REASON = "this workload manager stops";
+    private static final String NO_ENGINE_REASON = "no engine that is remembered can be reached";
 
     private final Limits limits;
     private final Settings settings;
@@ -38,402 +40,424 @@
     private final Consumer<String> log;
     private final Actor actor;
     private final Timers timers = new Timers();
-    /** What the module is told once it has returned: it may not be called from within its own actions. */
-    private final ArrayDeque<Runnable> afterwards = new ArrayDeque<>();
-    private final Map<String, OpenRequest> open = new HashMap<>();
-    private final Map<Request, OpenRequest> byRequest = new IdentityHashMap<>();
-    /** The same by the ids that clients gave. */
-    private final Map<String, OpenRequest> byClientId = new HashMap<>();
-    private final Map<Attempt, Out> out = new IdentityHashMap<>();
+    /** Calls to the decision module. They run one after another, since it must not be called from within its own actions. */
+    private final ArrayDeque<Runnable> moduleCalls = new ArrayDeque<>();
+    /** Requests by the id under which the decision module knows them, until their last attempt has ended. */
+    private final Map<String, OpenRequest> requestsById = new HashMap<>();
+    /** Requests that are not answered yet. */
+    private final Map<Request, OpenRequest> unanswered = new IdentityHashMap<>();
+    /** Requests that are not answered yet, by the client's id. */
+    private final Map<String, OpenRequest> unansweredByClientId = new HashMap<>();
+    private final Map<Attempt, InFlight> attemptsInFlight = new IdentityHashMap<>();
     private final EngineRegistry engines;
     private final Membership membership;
-    private final EngineListStore keeper;
+    private final EngineListStore listStore;
     private final RequestTrace trace;
-    private long lookAt = Long.MAX_VALUE;
+    /** When the timer for the next event of {@link #membership} is due. */
+    private long membershipTimerAt = Long.MAX_VALUE;
     private ControlApi control;
     private long now;
-    private long taken;
+    private long requestCount;
     private boolean stopping;
+    /** Whether new requests are refused, since the accept period of the shutdown is over. */
     private boolean closed;
-    private Runnable whenDone;
-    /** Whether there is a list, and whether all was done to have the latest. */
-    private boolean offered;
-    private boolean asked = true;
+    private Runnable whenAllAnswered;
+    private boolean hasEngineList;
+    /** Whether the first read of the control feed is complete, or none is required. */
+    private boolean firstFeedReadDone = true;
     private volatile boolean ready;
 
-    /** A core that keeps no list for its next start. */
+    /** Creates a dispatcher that does not store the engine list. */
     public Dispatcher(Settings settings, long seed, Limits limits, Clock clock, Consumer<String> log,
-                BiFunction<ListedEngine, Dispatcher, EngineLink> links) {
-        this(settings, seed, limits, clock, log, links,
-                TrustSettings.defaults(Clock.fromModule(settings.rules().warmWithin())), EngineListStore.NONE, RequestTrace.OFF);
+                      BiFunction<ListedEngine, Dispatcher, EngineLink> linkFactory) {
+        this(settings, seed, limits, clock, log, linkFactory,
+                TrustSettings.defaults(Clock.fromModuleNanos(settings.rules().warmWithin())), EngineListStore.NONE,
+                RequestTrace.OFF);
     }
 
-    /** A core that does not run yet; {@code links} opens the way to an engine, {@code keeper} is shown the list. */
+    /**
+     * Creates a dispatcher that is not started yet.
+     *
+     * @param seed seed of the decision module's random numbers
+     * @param log receives the decision module's log lines
+     * @param linkFactory creates the link to an engine
+     * @param listStore stores the engine list for the next start
+     */
     public Dispatcher(Settings settings, long seed, Limits limits, Clock clock, Consumer<String> log,
-                BiFunction<ListedEngine, Dispatcher, EngineLink> links, TrustSettings trust, EngineListStore keeper,
-                RequestTrace trace) {
+                      BiFunction<ListedEngine, Dispatcher, EngineLink> linkFactory, TrustSettings trust,
+                      EngineListStore listStore, RequestTrace trace) {
         this.trace = trace;
         this.membership = new Membership(trust);
-        this.keeper = keeper;
+        this.listStore = listStore;
         this.settings = settings;
         this.seed = seed;
         this.limits = limits;
         this.log = log;
-        this.engines = new EngineRegistry(engine -> links.apply(engine, this), limits.routing().drainGrace());
+        this.engines = new EngineRegistry(engine -> linkFactory.apply(engine, this), limits.routing().drainGrace());
         int mailbox = limits.routing().mailbox();
         this.actor = new Actor("core", mailbox, mailbox, limits.routing().stackBytes(), clock, this);
     }
 
-    /** An attempt that is out: whose it is, and where; null if its engine is not listed. */
-    private record Out(OpenRequest owner, EngineRegistry.Entry engine) { }
+    /** An attempt in flight: its request and its engine, which is null if the engine is not listed. */
+    private record InFlight(OpenRequest request, EngineRegistry.Entry engine) { }
 
     // ---- For other threads ----
 
-    /** Starts the module and its thread. */
+    /** Starts the actor's thread and the decision module. */
     public void start() {
         actor.start();
     }
 
-    /** Whether the module is up and has had a list. */
-    public boolean ready() {
+    /**
+     * Whether requests can be served: the decision module has received an engine list, the first read of the control feed
+     * is complete if one is required, and no shutdown has begun.
+     */
+    public boolean isReady() {
         return ready;
     }
 
-    /** Before the start: not ready until {@link #feedAsked}, even with a list. */
-    public void awaitFeed() {
-        asked = false;
+    /** Requires {@link #firstFeedReadDone} before {@link #isReady} can be true; to be called before {@link #start}. */
+    public void requireFeed() {
+        firstFeedReadDone = false;
     }
 
-    /** What the control feed had to tell has been told, or it can't be asked now. */
-    public void feedAsked() {
+    /** Reports that the first read of the control feed is complete, or that the feed cannot be reached at present. */
+    public void firstFeedReadDone() {
         actor.put(() -> {
-            asked = true;
-            ready = offered && !stopping;
+            firstFeedReadDone = true;
+            ready = hasEngineList && !stopping;
         });
     }
 
-    /** Takes a request; its front gets one answer unless it abandons it. */
-    public void take(Request request) {
-        actor.put(() -> taken(request));
+    /** Submits a request. Its front receives exactly one answer, unless it abandons the request before. */
+    public void submit(Request request) {
+        actor.put(() -> handleRequest(request));
     }
 
-    /** Nobody waits for this request any more. */
+    /** Abandons a request: nobody waits for its answer any more. */
     public void abandon(Request request) {
-        request.interest().lose();
-        actor.put(() -> abandoned(request));
+        request.interest().markLost();
+        actor.put(() -> handleAbandon(request));
     }
 
     /**
-     * The client of this request sends nothing more but may still read: no further attempt begins, and what is out may
-     * still end and be answered.
+     * Detaches a request whose client sends nothing more but may still read: no further attempt starts, while attempts in
+     * flight may still end and be answered.
      */
     public void detach(Request request) {
-        request.interest().detach();
-        actor.put(() -> detached(request));
+        request.interest().markDetached();
+        actor.put(() -> handleDetach(request));
     }
 
-    /** An attempt is over. */
-    public void ended(Attempt attempt, Attempt.Result result) {
-        actor.put(() -> end(attempt, result));
+    /** Reports the end of an attempt. */
+    public void attemptEnded(Attempt attempt, Attempt.Result result) {
+        actor.put(() -> finishAttempt(attempt, result));
     }
 
-    /** An attempt that is not over, with word of it. */
-    public void noted(Attempt attempt, NoteKind kind, double amount) {
+    /** Reports a status update of an attempt in flight. */
+    public void statusReceived(Attempt attempt, NoteKind kind, double amount) {
         actor.put(() -> {
-            Out it = out.get(attempt);
-            if (it != null) {
-                tell(() -> control.note(moduleNow(),
-                        new Note(it.owner.id, attempt.number(), attempt.engine(), kind, amount)));
+            InFlight inFlight = attemptsInFlight.get(attempt);
+            if (inFlight != null) {
+                callModule(() -> control.note(moduleNow(),
+                        new Note(inFlight.request.id, attempt.number(), attempt.engine(), kind, amount)));
             }
         });
     }
 
-    /** The list has changed. */
-    public void listed(boolean whole, List<ListedEngine> entries) {
-        actor.put(() -> list(whole, entries));
+    /** Reports an update of the engine list; {@code complete} if it holds all engines. */
+    public void listUpdated(boolean complete, List<ListedEngine> entries) {
+        actor.put(() -> applyListUpdate(complete, entries));
     }
 
-    /** The list of an earlier run, from disk; it counts until the feed tells. */
-    public void remembered(List<StoredEngine> kept) {
-        actor.put(() -> restore(kept));
+    /** Restores the stored engine list of an earlier run; it is valid until the control feed reports. */
+    public void restoreList(List<StoredEngine> storedEngines) {
+        actor.put(() -> applyStoredList(storedEngines));
     }
 
-    /** Something was seen of an engine beside the ends of its attempts: on its connections, say. */
-    public void witnessed(String engineId, Evidence evidence) {
-        actor.put(() -> seen(engineId, evidence));
+    /** Reports evidence about an engine other than the end of an attempt, such as the loss of a connection. */
+    public void evidenceObserved(String engineId, Evidence evidence) {
+        actor.put(() -> applyEvidence(engineId, evidence));
     }
 
-    /** From now on not ready; {@code done} runs when nothing more is taken and all that was is answered. */
-    public void stopping(Runnable done) {
+    /** Starts the shutdown. {@code done} runs when no more requests are accepted and all accepted ones are answered. */
+    public void shutDown(Runnable done) {
         actor.put(() -> {
             stopping = true;
             ready = false;
-            keeper.keep(membership.view(now), true);
-            timers.at(now + limits.shutdown().taking(), () -> {
+            listStore.save(membership.view(now), true);
+            timers.schedule(now + limits.shutdown().acceptPeriod(), () -> {
                 closed = true;
-                whenDone = done;
+                whenAllAnswered = done;
             });
-            timers.at(now + limits.shutdown().answering(), this::answerAll);
+            timers.schedule(now + limits.shutdown().answerPeriod(), this::answerAll);
         });
     }
 
-    // ---- The loop ----
+    // ---- Turns of the actor ----
 
     @Override
-    public void begin(long time) {
+    public void beginTurn(long time) {
         now = time;
         if (control == null) {
             control = new Control(settings, seed, moduleNow(), this);
-            if (keeper.every() < Long.MAX_VALUE) {
-                timers.at(now + keeper.every(), this::keepAgain);
+            if (listStore.saveInterval() < Long.MAX_VALUE) {
+                timers.schedule(now + listStore.saveInterval(), this::saveListPeriodically);
             }
         }
     }
 
     @Override
-    public long end(long time) {
-        Runnable task = timers.due(now);
+    public long endTurn(long time) {
+        Runnable task = timers.pollDue(now);
         while (task != null) {
             task.run();
-            task = timers.due(now);
+            task = timers.pollDue(now);
         }
-        lookAfterMembers();
-        if (whenDone != null && byRequest.isEmpty()) {
-            whenDone.run();
-            whenDone = null;
+        updateMembership();
+        if (whenAllAnswered != null && unanswered.isEmpty()) {
+            whenAllAnswered.run();
+            whenAllAnswered = null;
         }
-        return timers.next();
+        return timers.nextDueAt();
     }
 
     private long moduleNow() {
-        return Clock.toModule(now);
+        return Clock.toModuleNanos(now);
     }
 
-    /** One call to the module, and then what its actions led to. A fault in it must not end the program. */
-    private void tell(Runnable call) {
-        afterwards.addLast(call);
-        if (afterwards.size() > 1) {
+    /**
+     * Calls the decision module, then makes the calls that result from its actions. An exception in the module is logged
+     * and must not terminate the program.
+     */
+    private void callModule(Runnable call) {
+        moduleCalls.addLast(call);
+        if (moduleCalls.size() > 1) {
             return;
         }
-        while (!afterwards.isEmpty()) {
+        while (!moduleCalls.isEmpty()) {
             try {
-                afterwards.peekFirst().run();
+                moduleCalls.peekFirst().run();
             } catch (RuntimeException e) {
-                log.accept("the module failed: " + e + " at " + Arrays.toString(e.getStackTrace()));
+                log.accept("the decision module failed: " + e + " at " + Arrays.toString(e.getStackTrace()));
             }
-            afterwards.removeFirst();
+            moduleCalls.removeFirst();
         }
     }
 
     // ---- Requests ----
 
-    private void taken(Request r) {
-        long deadline = r.takenAt() + r.patience() - limits.routing().answerMargin();
-        // While stopping, what comes once no more is taken must not keep the program from its end.
-        String refusal = closed ? STOPS
-                : open.size() >= limits.routing().openRequests() ? "too many open requests" : null;
-        long comeBack = membership.comeBack(now);
-        if (refusal != null || comeBack > 0) {
+    private void handleRequest(Request request) {
+        long deadline = request.receivedAt() + request.timeout() - limits.routing().answerMargin();
+        // Once the accept period of a shutdown is over, new requests must not delay its end.
+        String refusal = closed ? STOPPING_REASON
+                : requestsById.size() >= limits.routing().openRequests() ? "too many open requests" : null;
+        long retryAfter = membership.retryAfter(now);
+        if (refusal != null || retryAfter > 0) {
             Answer answer = refusal != null ? Answer.refused(refusal, limits.routing().retryAfter())
-                    : Answer.refused(NO_ENGINE, comeBack);
-            trace.step("answered", r, "", now, answer.kind() + " " + answer.reason());
-            r.front().answer(r, answer);
+                    : Answer.refused(NO_ENGINE_REASON, retryAfter);
+            trace.step("answered", request, "", now, answer.kind() + " " + answer.reason());
+            request.front().answer(request, answer);
             return;
         }
-        OpenRequest namesake = byClientId.get(r.id());
-        if (namesake != null && !r.asksTheSame(namesake.request)) {
+        OpenRequest sameId = unansweredByClientId.get(request.id());
+        if (sameId != null && !request.isRepeatedBy(sameId.request)) {
             // Engines know requests by this id alone: they could answer one with the rows of the other.
-            r.front().answer(r, Answer.failed("its id is that of another request that is open", false));
+            request.front().answer(request, Answer.failed("its id is that of another request that is open", false));
             return;
         }
-        OpenRequest o = new OpenRequest("q" + taken++, r, deadline);
-        open.put(o.id, o);
-        byRequest.put(r, o);
-        byClientId.put(r.id(), o);
-        trace.step("taken", r, "", now, r.type());
-        timers.at(deadline + limits.routing().answerMargin() / 2, () -> overdue(o));
-        boolean ordered = r.order() != null;
-        tell(() -> control.request(moduleNow(), new ControlApi.Request(o.id, r.type(), "", ordered,
-                ordered ? r.order() : 0, Clock.toModule(Math.max(1, deadline - now)), Clock.toModule(r.work()),
-                r.memory(), r.tables(), false)));
-    }
-
-    private void abandoned(Request r) {
-        OpenRequest o = byRequest.get(r);
-        if (o == null) {
+        OpenRequest open = new OpenRequest("q" + requestCount++, request, deadline);
+        requestsById.put(open.id, open);
+        unanswered.put(request, open);
+        unansweredByClientId.put(request.id(), open);
+        trace.step("taken", request, "", now, request.type());
+        timers.schedule(deadline + limits.routing().answerMargin() / 2, () -> answerOverdue(open));
+        boolean isOrdered = request.orderingKey() != null;
+        callModule(() -> control.request(moduleNow(), new ControlApi.Request(open.id, request.type(), "", isOrdered,
+                isOrdered ? request.orderingKey() : 0, Clock.toModuleNanos(Math.max(1, deadline - now)),
+                Clock.toModuleNanos(request.work()), request.memory(), request.tables(), false)));
+    }
+
+    private void handleAbandon(Request request) {
+        OpenRequest open = unanswered.get(request);
+        if (open == null) {
             return;
         }
-        close(o);
-        tell(() -> control.abandoned(moduleNow(), o.id));
-        if (o.detached && settings.permissions().cancel()) {
-            // The module has been told before, when what was out might still be answered.
-            List.copyOf(o.out).forEach(attempt -> timers.at(now, () -> giveUp(attempt, End.CANCELLED)));
+        close(open);
+        callModule(() -> control.abandoned(moduleNow(), open.id));
+        if (open.detached && settings.permissions().cancel()) {
+            // The detach was already reported to the module as abandoned, when attempts in flight might still have been
+            // answered; so the module does not cancel them now.
+            List.copyOf(open.inFlight).forEach(attempt -> timers.schedule(now, () -> giveUp(attempt, End.CANCELLED)));
         }
     }
 
-    private void detached(Request r) {
-        OpenRequest o = byRequest.get(r);
-        if (o == null) {
+    private void handleDetach(Request request) {
+        OpenRequest open = unanswered.get(request);
+        if (open == null) {
             return;
         }
-        o.detached = true;
-        if (o.out.isEmpty()) {
-            answer(o, o.unserved("its client sends no more", limits.routing().retryAfter()));
+        open.detached = true;
+        if (open.inFlight.isEmpty()) {
+            answer(open, open.unserved("its client sends no more", limits.routing().retryAfter()));
         }
-        tell(() -> control.abandoned(moduleNow(), o.id));
+        callModule(() -> control.abandoned(moduleNow(), open.id));
     }
 
-    /** Answers all that is open: the process may be killed soon. */
+    /** Answers all open requests at the end of a shutdown, since the process may be killed soon. */
     private void answerAll() {
-        for (OpenRequest o : List.copyOf(byRequest.values())) {
-            answer(o, o.unserved(STOPS, limits.routing().retryAfter()));
-            tell(() -> control.abandoned(moduleNow(), o.id));
+        for (OpenRequest open : List.copyOf(unanswered.values())) {
+            answer(open, open.unserved(STOPPING_REASON, limits.routing().retryAfter()));
+            callModule(() -> control.abandoned(moduleNow(), open.id));
         }
     }
 
-    /** Guards the rule of one answer in time, should the module have missed it. */
-    private void overdue(OpenRequest o) {
-        if (!o.answered) {
-            answer(o, Answer.failed("no answer in time", true));
-            tell(() -> control.abandoned(moduleNow(), o.id));
+    /** Ensures an answer within the client's timeout, should the decision module have failed to give one. */
+    private void answerOverdue(OpenRequest open) {
+        if (!open.answered) {
+            answer(open, Answer.failed("no answer in time", true));
+            callModule(() -> control.abandoned(moduleNow(), open.id));
         }
     }
 
-    private void answer(OpenRequest o, Answer answer) {
-        if (!o.answered) {
-            close(o);
-            trace.step("answered", o.request, "", now, answer.kind() + " " + answer.reason());
-            o.request.front().answer(o.request, answer);
+    private void answer(OpenRequest open, Answer answer) {
+        if (!open.answered) {
+            close(open);
+            trace.step("answered", open.request, "", now, answer.kind() + " " + answer.reason());
+            open.request.front().answer(open.request, answer);
         }
     }
 
-    private void close(OpenRequest o) {
-        o.answered = true;
-        byRequest.remove(o.request);
-        byClientId.remove(o.request.id(), o);
-        o.out.forEach(Attempt::unwanted);
-        forgetIfOver(o);
+    private void close(OpenRequest open) {
+        open.answered = true;
+        unanswered.remove(open.request);
+        unansweredByClientId.remove(open.request.id(), open);
+        open.inFlight.forEach(Attempt::markUnwanted);
+        removeIfComplete(open);
     }
 
-    private void forgetIfOver(OpenRequest o) {
-        if (o.answered && o.out.isEmpty()) {
-            open.remove(o.id);
+    private void removeIfComplete(OpenRequest open) {
+        if (open.answered && open.inFlight.isEmpty()) {
+            requestsById.remove(open.id);
         }
     }
 
     // ---- Attempts ----
 
-    /** The first end of an attempt counts; one that comes later, from its engine or its timer, finds nothing. */
-    private void end(Attempt a, Attempt.Result result) {
-        Out ended = out.remove(a);
-        if (ended == null) {
+    /** Handles the first reported end of an attempt; a later one, from its engine or its timer, is ignored. */
+    private void finishAttempt(Attempt attempt, Attempt.Result result) {
+        InFlight finished = attemptsInFlight.remove(attempt);
+        if (finished == null) {
             return;
         }
-        OpenRequest o = ended.owner;
-        o.ended(a, result.end());
-        a.unwanted();
-        trace.step("ended", o.request, a.engine(), now, a.number() + " " + result.end());
-        if (ended.engine != null) {
-            engines.attemptEnded(ended.engine);
+        OpenRequest open = finished.request;
+        open.attemptEnded(attempt, result.status());
+        attempt.markUnwanted();
+        trace.step("ended", open.request, attempt.engine(), now, attempt.number() + " " + result.status());
+        if (finished.engine != null) {
+            engines.attemptEnded(finished.engine);
         }
-        if (result.end() == End.OK || result.end() == End.FULL || result.end() == End.ERROR) {
-            seen(a.engine(), Evidence.REQUEST_SERVED);
+        if (result.status() == End.OK || result.status() == End.FULL || result.status() == End.ERROR) {
+            applyEvidence(attempt.engine(), Evidence.REQUEST_SERVED);
         }
-        if (result.end() == End.OK) {
-            answer(o, Answer.served(result.rows()));
+        if (result.status() == End.OK) {
+            answer(open, Answer.served(result.rows()));
         }
-        if (o.detached && o.out.isEmpty()) {
-            answer(o, o.unserved("the engines failed it, and its client sends no more",
+        if (open.detached && open.inFlight.isEmpty()) {
+            answer(open, open.unserved("the engines failed it, and its client sends no more",
                     limits.routing().retryAfter()));
         }
-        boolean last = o.answered;
-        forgetIfOver(o);
-        tell(() -> control.outcome(moduleNow(), new Outcome(o.id, a.number(), a.engine(), result.end(),
-                Clock.toModule(now - a.sentAt()), last, Clock.toModule(result.work()), result.memory(), Load.NONE)));
+        boolean isLast = open.answered;
+        removeIfComplete(open);
+        callModule(() -> control.outcome(moduleNow(), new Outcome(open.id, attempt.number(), attempt.engine(), result.status(),
+                Clock.toModuleNanos(now - attempt.sentAt()), isLast, Clock.toModuleNanos(result.work()), result.memory(),
+                Load.NONE)));
     }
 
     /**
-     * Ends an attempt from this side. The engine must be told: until then it counts as out, and a load that follows
-     * it on its key would break the order.
+     * Ends an attempt from this side. The engine has to be asked to cancel it: until then the attempt may still run, and a
+     * load that follows with the same ordering key would break the order.
      */
-    private void giveUp(Attempt a, End how) {
-        Out given = out.get(a);
-        if (given != null) {
-            given.engine.link().giveUp(a);
-            end(a, Attempt.Result.of(how));
+    private void giveUp(Attempt attempt, End status) {
+        InFlight inFlight = attemptsInFlight.get(attempt);
+        if (inFlight != null) {
+            inFlight.engine.link().giveUp(attempt);
+            finishAttempt(attempt, Attempt.Result.of(status));
         }
     }
 
     @Override
     public void send(String id, String engineId, long timeout) {
-        OpenRequest o = open.get(id);
+        OpenRequest open = requestsById.get(id);
         EngineRegistry.Entry engine = engines.get(engineId);
-        if (o == null) {
+        if (open == null) {
             return;
         }
-        long endsAt = timeout > 0 ? Math.min(o.deadline, now + Clock.fromModule(timeout)) : o.deadline;
-        Attempt a = new Attempt(o.request, engineId, o.attempts.size(), now, endsAt, o.priority);
-        o.attempts.add(a);
-        o.out.add(a);
+        long attemptDeadline = timeout > 0 ? Math.min(open.deadline, now + Clock.fromModuleNanos(timeout)) : open.deadline;
+        Attempt attempt = new Attempt(open.request, engineId, open.attempts.size(), now, attemptDeadline, open.priority);
+        open.attempts.add(attempt);
+        open.inFlight.add(attempt);
         if (engine != null) {
-            engine.attemptBegan();
-        }
-        out.put(a, new Out(o, engine));
-        trace.step("sent", o.request, engineId, now, Integer.toString(a.number()));
-        if (o.answered || o.detached || engine == null || endsAt <= now) {
-            timers.at(now, () -> end(a, Attempt.Result.of(End.NOT_SENT)));
-        } else if (engine.link().send(a)) {
-            timers.at(endsAt, () -> giveUp(a, End.TIMEOUT));
+            engine.attemptStarted();
+        }
+        attemptsInFlight.put(attempt, new InFlight(open, engine));
+        trace.step("sent", open.request, engineId, now, Integer.toString(attempt.number()));
+        if (open.answered || open.detached || engine == null || attemptDeadline <= now) {
+            timers.schedule(now, () -> finishAttempt(attempt, Attempt.Result.of(End.NOT_SENT)));
+        } else if (engine.link().send(attempt)) {
+            timers.schedule(attemptDeadline, () -> giveUp(attempt, End.TIMEOUT));
         } else {
-            timers.at(now, () -> end(a, Attempt.Result.of(End.FULL)));
+            timers.schedule(now, () -> finishAttempt(attempt, Attempt.Result.of(End.FULL)));
         }
     }
 
     @Override
     public void cancel(String id, int number) {
-        OpenRequest o = open.get(id);
-        boolean isOut = o != null && number < o.attempts.size() && o.out.contains(o.attempts.get(number));
-        if (!isOut || o.detached && !o.answered) {
+        OpenRequest open = requestsById.get(id);
+        boolean isInFlight = open != null && number < open.attempts.size()
+                && open.inFlight.contains(open.attempts.get(number));
+        if (!isInFlight || open.detached && !open.answered) {
             return;
         }
-        Attempt a = o.attempts.get(number);
-        timers.at(now, () -> giveUp(a, End.CANCELLED));
+        Attempt attempt = open.attempts.get(number);
+        timers.schedule(now, () -> giveUp(attempt, End.CANCELLED));
     }
 
     @Override
     public void terms(String id, double memory, int priority) {
-        OpenRequest o = open.get(id);
-        if (o == null || o.priority == priority) {
+        OpenRequest open = requestsById.get(id);
+        if (open == null || open.priority == priority) {
             return;
         }
-        o.priority = priority;
-        for (Attempt a : o.out) {
-            if (out.get(a).engine != null) {
-                out.get(a).engine.link().prioritise(a, priority);
+        open.priority = priority;
+        for (Attempt attempt : open.inFlight) {
+            if (attemptsInFlight.get(attempt).engine != null) {
+                attemptsInFlight.get(attempt).engine.link().setPriority(attempt, priority);
             }
         }
     }
 
     @Override
     public void refuse(String id, long retryAfter) {
-        OpenRequest o = open.get(id);
-        if (o != null) {
-            long wait = retryAfter > 0 ? Clock.fromModule(retryAfter) : limits.routing().retryAfter();
-            answer(o, Answer.refused("refused: it would not be served in time", wait));
+        OpenRequest open = requestsById.get(id);
+        if (open != null) {
+            long advice = retryAfter > 0 ? Clock.fromModuleNanos(retryAfter) : limits.routing().retryAfter();
+            answer(open, Answer.refused("refused: it would not be served in time", advice));
         }
     }
 
     @Override
     public void fail(String id) {
-        OpenRequest o = open.get(id);
-        if (o != null) {
-            answer(o, Answer.failed(o.hasTimedOut() ? "no answer in time" : "the engines failed it", o.hasTimedOut()));
+        OpenRequest open = requestsById.get(id);
+        if (open != null) {
+            answer(open,
+                    Answer.failed(open.hasTimedOut() ? "no answer in time" : "the engines failed it", open.hasTimedOut()));
         }
     }
 
     @Override
     public void wake(long delay, long handle) {
-        timers.at(now + Clock.fromModule(delay), () -> tell(() -> control.timer(moduleNow(), handle)));
+        timers.schedule(now + Clock.fromModuleNanos(delay), () -> callModule(() -> control.timer(moduleNow(), handle)));
     }
 
     @Override
@@ -442,31 +466,31 @@
         if (engine == null) {
             return;
         }
-        long askedAt = now;
-        boolean left = engine.link().probe(report -> actor.put(() -> probed(engineId, askedAt, report)));
-        if (!left) {
-            timers.at(now, () -> probed(engineId, askedAt, null));
+        long sentAt = now;
+        boolean accepted = engine.link().probe(report -> actor.put(() -> handleProbeResult(engineId, sentAt, report)));
+        if (!accepted) {
+            timers.schedule(now, () -> handleProbeResult(engineId, sentAt, null));
         }
     }
 
-    private void probed(String engineId, long askedAt, Map<String, Double> report) {
+    private void handleProbeResult(String engineId, long sentAt, Map<String, Double> report) {
         if (report != null) {
-            seen(engineId, Evidence.PROBE_ANSWERED);
+            applyEvidence(engineId, Evidence.PROBE_ANSWERED);
         } else {
-            membership.probeEnded(now, engineId);
+            membership.probeFailed(now, engineId);
         }
-        tell(() -> control.probed(moduleNow(), engineId, report != null, Clock.toModule(now - askedAt),
+        callModule(() -> control.probed(moduleNow(), engineId, report != null, Clock.toModuleNanos(now - sentAt),
                 LoadReport.of(report)));
     }
 
     @Override
     public void tell(byte[] message) {
-        // Workload managers share nothing on this wire, and the settings forbid it to the module.
+        // The platform's protocol has no messages between workload managers, and the settings forbid them to the module.
     }
 
     @Override
     public void follow() {
-        // The control feed is followed from the start.
+        // The control feed is subscribed to from the start.
     }
 
     @Override
@@ -476,73 +500,76 @@
 
     // ---- Engines ----
 
-    private void list(boolean whole, List<ListedEngine> told) {
-        List<ListedEngine> entries = membership.told(now, whole, told);
-        engines.update(now, whole, entries);
-        offer(whole, entries);
-        if (membership.takeUrgent()) {
-            keeper.keep(membership.view(now), true);
+    private void applyListUpdate(boolean complete, List<ListedEngine> reported) {
+        List<ListedEngine> entries = membership.applyUpdate(now, complete, reported);
+        engines.update(now, complete, entries);
+        offer(complete, entries);
+        if (membership.takeUrgentChange()) {
+            listStore.save(membership.view(now), true);
         }
     }
 
-    private void restore(List<StoredEngine> kept) {
-        List<ListedEngine> offers = membership.restore(now, kept);
+    private void applyStoredList(List<StoredEngine> storedEngines) {
+        List<ListedEngine> offers = membership.restore(now, storedEngines);
         if (!offers.isEmpty()) {
-            // The links go by the list; what may be offered on them is told to the module alone.
-            engines.update(now, false, kept.stream().map(StoredEngine::engine).toList());
+            // Links are created from the list itself; only the decision module receives the offers.
+            engines.update(now, false, storedEngines.stream().map(StoredEngine::engine).toList());
             offer(false, offers);
         }
     }
 
-    /** Tells the module of these engines as membership lets them be offered. */
-    private void offer(boolean whole, List<ListedEngine> entries) {
-        tell(() -> control.engines(moduleNow(), whole,
-                entries.stream().map(membership::offer).map(Clock::toModule).toList()));
-        offered = true;
-        ready = asked && !stopping;
+    /** Passes the offers for these engines to the decision module. */
+    private void offer(boolean complete, List<ListedEngine> entries) {
+        callModule(() -> control.engines(moduleNow(), complete,
+                entries.stream().map(membership::offerFor).map(Clock::toModuleEngine).toList()));
+        hasEngineList = true;
+        ready = firstFeedReadDone && !stopping;
     }
 
-    private void seen(String engineId, Evidence evidence) {
-        ListedEngine offer = membership.seen(now, engineId, evidence);
+    private void applyEvidence(String engineId, Evidence evidence) {
+        ListedEngine offer = membership.observe(now, engineId, evidence);
         if (offer != null) {
             offer(false, List.of(offer));
         }
     }
 
-    /** What membership does by itself; what it then has to say to the module is said in its own turn. */
-    private void lookAfterMembers() {
-        List<ListedEngine> offers = membership.turn(now);
+    /**
+     * Applies what membership does without input: it passes changed offers to the decision module, sends due probes,
+     * refuses requests that no engine can serve, and sets the timer for membership's next event.
+     */
+    private void updateMembership() {
+        List<ListedEngine> offers = membership.advanceTime(now);
         if (!offers.isEmpty()) {
             offer(false, offers);
         }
-        for (String id = membership.probe(now); id != null; id = membership.probe(now)) {
+        for (String id = membership.nextProbe(now); id != null; id = membership.nextProbe(now)) {
             probe(id);
         }
-        long comeBack = membership.comeBack(now);
-        if (comeBack > 0) {
-            refuseUnsent(comeBack);
+        long retryAfter = membership.retryAfter(now);
+        if (retryAfter > 0) {
+            refuseUnsent(retryAfter);
         }
-        long due = membership.due(now);
-        if (due < lookAt || lookAt <= now) {
-            lookAt = due;
-            if (due < Long.MAX_VALUE) {
-                timers.at(due, () -> { });
+        long nextEventAt = membership.nextEventAt(now);
+        if (nextEventAt < membershipTimerAt || membershipTimerAt <= now) {
+            membershipTimerAt = nextEventAt;
+            if (nextEventAt < Long.MAX_VALUE) {
+                timers.schedule(nextEventAt, () -> { });
             }
         }
     }
 
-    /** What waits for an engine when there is none left to hope for has its answer at once. */
-    private void refuseUnsent(long comeBack) {
-        for (OpenRequest o : List.copyOf(byRequest.values())) {
-            if (o.attempts.isEmpty()) {
-                answer(o, Answer.refused(NO_ENGINE, comeBack));
-                tell(() -> control.abandoned(moduleNow(), o.id));
+    /** Refuses the requests that still wait for an engine when none can be expected to become available. */
+    private void refuseUnsent(long retryAfter) {
+        for (OpenRequest open : List.copyOf(unanswered.values())) {
+            if (open.attempts.isEmpty()) {
+                answer(open, Answer.refused(NO_ENGINE_REASON, retryAfter));
+                callModule(() -> control.abandoned(moduleNow(), open.id));
             }
         }
     }
 
-    private void keepAgain() {
-        keeper.keep(membership.view(now), false);
-        timers.at(now + keeper.every(), this::keepAgain);
+    private void saveListPeriodically() {
+        listStore.save(membership.view(now), false);
+        timers.schedule(now + listStore.saveInterval(), this::saveListPeriodically);
     }
 }
--- a/src/main/java/cairnline/routing/EngineLink.java
+++ b/src/main/java/cairnline/routing/EngineLink.java
@@ -3,26 +3,41 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** The way to one engine. All calls come from the core's thread and return at once. */
+/** Sends attempts and probes to one engine. All methods are called on the dispatcher's thread and must not block. */
 public interface EngineLink {
-    /** Starts an attempt, whose end and notes go to the core; false if too many wait to leave. */
+    /**
+     * Sends an attempt; the link reports its status updates and its end to the dispatcher.
+     *
+     * @return false if the attempt was not accepted, since too many messages wait to be written
+     */
     boolean send(Attempt attempt);
 
-    /** Gives up an attempt that is out, timed out or cancelled: its engine is told, and its end no longer waited for. */
+    /**
+     * Gives up an attempt in flight that has timed out or was cancelled: the engine is asked to cancel it, and its result
+     * is ignored.
+     */
     void giveUp(Attempt attempt);
 
-    /** Sets the priority of an attempt that is out. */
-    void prioritise(Attempt attempt, int priority);
+    /** Changes the priority of an attempt in flight. */
+    void setPriority(Attempt attempt, int priority);
 
-    /** Asks for the engine's load; the answer is null if there was none. False if too many wait to leave. */
+    /**
+     * Requests the engine's load report.
+     *
+     * @param answer receives the report, or null if the engine did not send one
+     * @return false if the probe was not accepted, since too many messages wait to be written
+     */
     boolean probe(Consumer<Map<String, Double>> answer);
 
-    /** No attempt may leave after this time, even one that waits already; {@code Long.MAX_VALUE} lifts that. */
-    void lastSend(long time);
+    /** Sends no attempt after this time, not even one that is queued already; {@code Long.MAX_VALUE} removes the limit. */
+    void stopSendingAfter(long time);
 
-    /** The engine has started anew: nothing goes out on connections of before, which end as reset. */
-    void renew();
+    /**
+     * Closes the connections after the engine has restarted; attempts in flight on them end with {@code RESET}. New
+     * connections are opened as needed.
+     */
+    void resetConnections();
 
-    /** Ends the link; what is still out ends as reset. */
+    /** Closes the link; attempts in flight end with {@code RESET}. */
     void close();
 }
--- a/src/main/java/cairnline/routing/EngineListUpdates.java
+++ b/src/main/java/cairnline/routing/EngineListUpdates.java
@@ -3,52 +3,61 @@
 import cairnline.membership.ListedEngine;
 import java.util.List;
 
-/** The list's actor: takes numbered changes in order, once each, and hands them to the core. */
+/** An actor that passes numbered updates of the engine list to the dispatcher, in order and each one only once. */
 public final class EngineListUpdates implements Actor.Handler {
-    private final Dispatcher core;
+    private final Dispatcher dispatcher;
     private final Actor actor;
-    private volatile long last;
+    private volatile long lastNumber;
 
-    /** A list without engines. */
-    public EngineListUpdates(Dispatcher core, Limits limits, Clock clock) {
-        this.core = core;
+    /** Creates an actor that is not started yet and has seen no update. */
+    public EngineListUpdates(Dispatcher dispatcher, Limits limits, Clock clock) {
+        this.dispatcher = dispatcher;
         int mailbox = limits.connections().mailbox();
         this.actor = new Actor("list", mailbox, mailbox, limits.routing().stackBytes(), clock, this);
     }
 
-    /** Starts its thread. */
+    /** Starts the actor's thread. */
     public void start() {
         actor.start();
     }
 
-    /** The number of the last change that it has. */
-    public long last() {
-        return last;
+    /** Returns the number of the latest update that was passed on. Safe to call on any thread. */
+    public long lastNumber() {
+        return lastNumber;
     }
 
-    /** A change; {@code entries} is null where an event changed nothing. Waits for room. */
-    public void changed(long number, boolean whole, List<ListedEngine> entries) {
+    /**
+     * Submits an update; blocks while the mailbox is full.
+     *
+     * @param number number of the update in the feed
+     * @param complete whether the update holds all engines
+     * @param entries the changed entries; null for an event that changes nothing
+     */
+    public void submitUpdate(long number, boolean complete, List<ListedEngine> entries) {
         actor.put(() -> {
-            // After a reconnect the feed may tell again what came just before.
-            if (number > last) {
-                last = number;
+            // After a reconnect the feed may send the latest updates once more.
+            if (number > lastNumber) {
+                lastNumber = number;
                 if (entries != null) {
-                    core.listed(whole, entries);
+                    dispatcher.listUpdated(complete, entries);
                 }
             }
         });
     }
 
-    /** The feed has been asked, and what came of it at once has been left here before; or it can't be asked now. */
-    public void asked() {
-        actor.put(core::feedAsked);
+    /**
+     * Reports that the first read of the control feed is complete, its updates having been submitted before, or that the
+     * feed cannot be reached at present.
+     */
+    public void firstReadDone() {
+        actor.put(dispatcher::firstFeedReadDone);
     }
 
     @Override
-    public void begin(long now) { }
+    public void beginTurn(long now) { }
 
     @Override
-    public long end(long now) {
+    public long endTurn(long now) {
         return Long.MAX_VALUE;
     }
 }
--- a/src/main/java/cairnline/routing/EngineRegistry.java
+++ b/src/main/java/cairnline/routing/EngineRegistry.java
@@ -9,20 +9,20 @@
 import java.util.Set;
 import java.util.function.Function;
 
-/** The engines that are listed, and the links to them. Only the core's thread uses it; times are microseconds. */
+/** The listed engines and the links to them. Used only on the dispatcher's thread; times are in microseconds. */
 final class EngineRegistry {
     private final Map<String, Entry> entries = new HashMap<>();
-    private final Function<ListedEngine, EngineLink> links;
+    private final Function<ListedEngine, EngineLink> linkFactory;
     private final long drainGrace;
 
-    /** An engine that is listed, or gone with attempts still out. */
+    /** An engine that is listed, or that was removed while attempts were in flight to it. */
     static final class Entry {
         private final EngineLink link;
-        private ListedEngine listed;
-        private int attemptsOut;
+        private ListedEngine engine;
+        private int attemptsInFlight;
 
-        private Entry(ListedEngine listed, EngineLink link) {
-            this.listed = listed;
+        private Entry(ListedEngine engine, EngineLink link) {
+            this.engine = engine;
             this.link = link;
         }
 
@@ -30,75 +30,80 @@
             return link;
         }
 
-        void attemptBegan() {
-            attemptsOut++;
+        void attemptStarted() {
+            attemptsInFlight++;
         }
     }
 
-    /** No engines yet; {@code links} opens the way to one, to which nothing leaves after {@code drainGrace} of draining. */
-    EngineRegistry(Function<ListedEngine, EngineLink> links, long drainGrace) {
-        this.links = links;
+    /**
+     * Creates a registry without engines.
+     *
+     * @param linkFactory creates the link to an engine
+     * @param drainGrace time after the start of a drain from which on nothing is sent to the engine
+     */
+    EngineRegistry(Function<ListedEngine, EngineLink> linkFactory, long drainGrace) {
+        this.linkFactory = linkFactory;
         this.drainGrace = drainGrace;
     }
 
-    /** The engine with this id; null if it is not listed. */
+    /** Returns the entry of the engine with this id; null if there is none. */
     Entry get(String id) {
         return entries.get(id);
     }
 
-    /** Brings links in line with these entries, which are all there are if {@code whole}. */
-    void update(long now, boolean whole, List<ListedEngine> told) {
-        if (whole) {
-            Set<String> named = new HashSet<>();
-            told.forEach(engine -> named.add(engine.id()));
+    /** Updates the links to match these engines; if {@code complete}, engines that are missing here are removed. */
+    void update(long now, boolean complete, List<ListedEngine> engines) {
+        if (complete) {
+            Set<String> ids = new HashSet<>();
+            engines.forEach(engine -> ids.add(engine.id()));
             for (Entry entry : List.copyOf(entries.values())) {
-                if (!named.contains(entry.listed.id())) {
-                    become(now, entry, entry.listed.as(Listed.GONE));
+                if (!ids.contains(entry.engine.id())) {
+                    apply(now, entry, entry.engine.withStatus(Listed.GONE));
                 }
             }
         }
-        told.forEach(engine -> reach(now, engine));
+        engines.forEach(engine -> update(now, engine));
     }
 
-    /** An attempt at this engine has ended. */
+    /** Records that an attempt on this engine has ended. */
     void attemptEnded(Entry entry) {
-        entry.attemptsOut--;
-        closeIfGone(entry);
+        entry.attemptsInFlight--;
+        closeIfRemoved(entry);
     }
 
-    private void reach(long now, ListedEngine engine) {
+    private void update(long now, ListedEngine engine) {
         Entry known = entries.get(engine.id());
-        if (known != null && !known.listed.address().equals(engine.address())) {
-            // The same name at another address is reached by another way; the old one ends.
+        if (known != null && !known.engine.address().equals(engine.address())) {
+            // A link is bound to one address: an engine with a new address gets a new link.
             entries.remove(engine.id());
             known.link.close();
             known = null;
         }
         if (known != null) {
-            become(now, known, engine);
-        } else if (engine.listed() != Listed.GONE) {
-            Entry entry = new Entry(engine, links.apply(engine));
+            apply(now, known, engine);
+        } else if (engine.status() != Listed.GONE) {
+            Entry entry = new Entry(engine, linkFactory.apply(engine));
             entries.put(engine.id(), entry);
-            become(now, entry, engine);
+            apply(now, entry, engine);
         }
     }
 
-    private void become(long now, Entry entry, ListedEngine engine) {
-        boolean wasReady = entry.listed.listed() == Listed.READY;
-        if (engine.startedAt() > entry.listed.startedAt()) {
-            entry.link.renew();
+    private void apply(long now, Entry entry, ListedEngine engine) {
+        boolean wasReady = entry.engine.status() == Listed.READY;
+        if (engine.startedAt() > entry.engine.startedAt()) {
+            entry.link.resetConnections();
         }
-        entry.listed = engine;
-        if (engine.listed() == Listed.READY) {
-            entry.link.lastSend(Long.MAX_VALUE);
+        entry.engine = engine;
+        if (engine.status() == Listed.READY) {
+            entry.link.stopSendingAfter(Long.MAX_VALUE);
         } else if (wasReady) {
-            entry.link.lastSend(now + drainGrace);
+            entry.link.stopSendingAfter(now + drainGrace);
         }
-        closeIfGone(entry);
+        closeIfRemoved(entry);
     }
 
-    private void closeIfGone(Entry entry) {
-        if (entry.listed.listed() == Listed.GONE && entry.attemptsOut == 0 && entries.remove(entry.listed.id(), entry)) {
+    private void closeIfRemoved(Entry entry) {
+        if (entry.engine.status() == Listed.GONE && entry.attemptsInFlight == 0 && entries.remove(entry.engine.id(), entry)) {
             entry.link.close();
         }
     }
--- a/src/main/java/cairnline/routing/Front.java
+++ b/src/main/java/cairnline/routing/Front.java
@@ -1,7 +1,7 @@
 package cairnline.routing;
 
-/** Where a request came from. */
+/** Receives the answers to the requests of one client connection or protocol. */
 public interface Front {
-    /** Takes the one final answer; called on the core's thread, so it must not block. */
+    /** Receives the one final answer to a request; called on the dispatcher's thread, so it must not block. */
     void answer(Request request, Answer answer);
 }
--- a/src/main/java/cairnline/routing/Limits.java
+++ b/src/main/java/cairnline/routing/Limits.java
@@ -1,93 +1,96 @@
 package cairnline.routing;
 
-/** Every size, count and time of the program, filled at start. Times are microseconds, sizes bytes. */
+/** All sizes, counts and times that bound the program, set at start-up. Times are in microseconds, sizes in bytes. */
 public record Limits(Routing routing, Connections connections, Clients clients, Engines engines, Feed feed,
                      Shutdown shutdown, Http http) {
     /**
-     * The core.
+     * Limits of the dispatcher and of threads.
      *
-     * @param mailbox letters that an actor holds; whoever leaves one waits when it is full
-     * @param stackBytes stack of the program's threads
-     * @param openRequests open requests in all
-     * @param answerMargin answers go out so long before the client gives up
-     * @param drainGrace nothing leaves for an engine so long after it was told to drain
-     * @param retryAfter advice to a refused client, where the wire has room for it and the module gives none
+     * @param mailbox maximum number of tasks in an actor's mailbox; whoever submits a task to a full mailbox waits
+     * @param stackBytes stack size of the program's threads
+     * @param openRequests maximum number of open requests
+     * @param answerMargin time by which an answer is due before the client's timeout
+     * @param drainGrace time after the start of a drain from which on nothing is sent to the engine
+     * @param retryAfter advice to a refused client, where the protocol can carry it and the decision module gives none
      */
     public record Routing(int mailbox, int stackBytes, int openRequests, long answerMargin, long drainGrace,
                           long retryAfter) { }
 
     /**
-     * Every connection, to clients and to engines.
+     * Limits of each connection, to clients and to engines.
      *
-     * @param mailbox requests that may wait to be written to an engine; beyond that it is full
-     * @param linger so long a connection whose output has been ended waits for its peer to end it too
-     * @param ignoredBytes so much is read and dropped where input is not used any more
-     * @param writeStall a peer that takes nothing for so long is closed
-     * @param connect a connection that is not up by then has failed
+     * @param mailbox maximum number of requests that wait to be written to an engine; beyond it, requests are rejected
+     * @param linger time for which a connection whose output was shut down waits for the peer to close it
+     * @param ignoredBytes maximum number of bytes that are read and discarded once the input is no longer used
+     * @param writeStallTimeout a connection whose peer accepts no bytes for this long is closed
+     * @param connectTimeout time within which a connection must be established
      */
-    public record Connections(int mailbox, long linger, int ignoredBytes, long writeStall, long connect) { }
+    public record Connections(int mailbox, long linger, int ignoredBytes, long writeStallTimeout, long connectTimeout) { }
 
     /**
-     * Clients.
+     * Limits of clients.
      *
-     * @param connections client connections at once
-     * @param openRequests open requests on one of them
-     * @param heldBytes bytes in all of statements that are open and of messages that have begun and not ended
-     * @param idle after this a connection with nothing open is closed
-     * @param evictableAfter one on which nothing has moved for so long gives way to another where there is no room
-     * @param firstMessage a client that has begun nothing by then is turned away
-     * @param wholeMessage a message that has begun must be whole by then
-     * @param frameBytes longest frame
+     * @param connections maximum number of client connections
+     * @param openRequests maximum number of open requests on one connection
+     * @param heldBytes maximum total size of the statements of open requests and of incomplete messages
+     * @param idleTimeout a connection without open requests is closed after this time
+     * @param evictableAfter a connection without activity for this long may be evicted in favour of a new one
+     * @param firstMessageTimeout time within which a client must have started its first message
+     * @param messageTimeout time within which a message that has started must be complete
+     * @param frameBytes maximum length of a frame
      */
-    public record Clients(int connections, int openRequests, long heldBytes, long idle, long evictableAfter,
-                          long firstMessage, long wholeMessage, int frameBytes) { }
+    public record Clients(int connections, int openRequests, long heldBytes, long idleTimeout, long evictableAfter,
+                          long firstMessageTimeout, long messageTimeout, int frameBytes) { }
 
     /**
-     * Engines on the platform's wire.
+     * Limits of connections to engines by the platform's protocol.
      *
-     * @param idle after this an idle connection is closed from this side, before an engine does it
-     * @param connectionsEach connections to one engine
-     * @param connections connections to all engines together
-     * @param streams open requests on one connection
-     * @param streamsSpread from so many on another connection is opened: one that ends takes all that is open along
-     * @param silence a connection with requests open that tells nothing for so long is closed
-     * @param partialAnswer one on which an answer has begun and not ended by then is closed
-     * @param partBytes largest part of an answer
-     * @param pageBytes largest page of a result
-     * @param pages most pages of a result
-     * @param resultBytes largest result
+     * @param idleTimeout an idle connection is closed by this side after this time, before the engine closes it
+     * @param connectionsPerEngine maximum number of connections to one engine
+     * @param connections maximum number of connections to all engines together
+     * @param streamsPerConnection maximum number of open requests on one connection
+     * @param streamsBeforeNewConnection number of open requests on a connection from which on another one is opened, since
+     *     a connection that closes fails all requests on it
+     * @param silenceTimeout a connection with open requests that receives nothing for this long is closed
+     * @param partialAnswerTimeout time within which an answer that has started must be complete, or its connection is closed
+     * @param partBytes maximum size of a part of an answer
+     * @param pageBytes maximum size of a page of a result
+     * @param pages maximum number of pages of a result
+     * @param resultBytes maximum size of a result
      */
-    public record Engines(long idle, int connectionsEach, int connections, int streams, int streamsSpread, long silence,
-                          long partialAnswer, int partBytes, int pageBytes, int pages, int resultBytes) { }
+    public record Engines(long idleTimeout, int connectionsPerEngine, int connections, int streamsPerConnection,
+                          int streamsBeforeNewConnection, long silenceTimeout, long partialAnswerTimeout, int partBytes,
+                          int pageBytes, int pages, int resultBytes) { }
 
     /**
-     * The control feed.
+     * Limits of the control feed.
      *
-     * @param connect a feed that is not up by then is tried again
-     * @param pause between attempts to reach it
-     * @param silence after this a silent feed is left and reached anew
-     * @param firstTold so long a feed that was just asked may take to tell what it has
-     * @param lineBytes longest line
+     * @param connectTimeout time within which a connection to the feed must be established
+     * @param reconnectDelay time between two attempts to connect
+     * @param silenceTimeout a connection that receives nothing for this long is replaced by a new one
+     * @param firstUpdateTimeout time that a feed has to send its updates after the subscription
+     * @param lineBytes maximum length of a line
      */
-    public record Feed(long connect, long pause, long silence, long firstTold, int lineBytes) { }
+    public record Feed(long connectTimeout, long reconnectDelay, long silenceTimeout, long firstUpdateTimeout,
+                       int lineBytes) { }
 
     /**
-     * The end of the program, counted from SIGTERM.
+     * Limits of the orderly shutdown. The first two are counted from SIGTERM.
      *
-     * @param taking requests are taken for so long
-     * @param answering after so long what is still open is answered as refused or failed
-     * @param draining after the last answer connections have so long to end in order
+     * @param acceptPeriod time for which requests are still accepted
+     * @param answerPeriod time after which requests that are still open are answered as refused or failed
+     * @param drainPeriod time that connections have after the last answer to close in order
      */
-    public record Shutdown(long taking, long answering, long draining) { }
+    public record Shutdown(long acceptPeriod, long answerPeriod, long drainPeriod) { }
 
     /**
-     * OData over HTTP.
+     * Limits of OData over HTTP.
      *
-     * @param connections connections to one engine, each of which carries one request
-     * @param headBytes longest head of a message
-     * @param bodyBytes longest body of a message, and longest answer
-     * @param pages most pages of one answer
-     * @param batchRequests most requests in one batch
+     * @param connections maximum number of connections to one engine, each of which carries one request at a time
+     * @param headBytes maximum size of a message's head
+     * @param bodyBytes maximum size of a message's body, and of an answer
+     * @param pages maximum number of pages of an answer
+     * @param batchRequests maximum number of requests in a batch
      */
     public record Http(int connections, int headBytes, int bodyBytes, int pages, int batchRequests) { }
 }
--- a/src/main/java/cairnline/routing/LoadReport.java
+++ b/src/main/java/cairnline/routing/LoadReport.java
@@ -4,23 +4,23 @@
 import java.util.Map;
 
 /**
- * An engine's report of its load in the module's terms. Engines name its figures as the settings do
- * ({@code loadReport.columns}); the protocol's pages give short names in their example, which count as well.
+ * Converts an engine's load report to the decision module's {@link Load}. Engines name the figures as in the settings
+ * ({@code loadReport.columns}); the short names from the example in the protocol documentation are accepted too.
  */
 final class LoadReport {
     private LoadReport() { }
 
-    /** What a probe has brought, null if nothing; what is not named is not known. */
+    /** Converts the report of a probe; null if there is none. Figures that are missing become NaN. */
     static Load of(Map<String, Double> report) {
         if (report == null) {
             return Load.NONE;
         }
-        return new Load(named(report, "utilization", "util"), Double.NaN, named(report, "outstanding", "inflight"),
-                named(report, "x0", "x0"), named(report, "x1", "x1"));
+        return new Load(figure(report, "utilization", "util"), Double.NaN, figure(report, "outstanding", "inflight"),
+                figure(report, "x0", "x0"), figure(report, "x1", "x1"));
     }
 
-    private static double named(Map<String, Double> report, String settingsName, String pagesName) {
+    private static double figure(Map<String, Double> report, String settingsName, String shortName) {
         Double value = report.get(settingsName);
-        return value != null ? value : report.getOrDefault(pagesName, Double.NaN);
+        return value != null ? value : report.getOrDefault(shortName, Double.NaN);
     }
 }
--- a/src/main/java/cairnline/routing/OpenRequest.java
+++ b/src/main/java/cairnline/routing/OpenRequest.java
@@ -4,20 +4,22 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A request with its attempts; kept after its answer until the last attempt is over. Only the core's thread uses it. */
+/**
+ * A request with its attempts. It is kept after the answer until the last attempt has ended. Used only on the dispatcher's
+ * thread.
+ */
 final class OpenRequest {
-    /** The id under which the module knows it. */
+    /** The id under which the decision module knows the request. */
     final String id;
     final Request request;
-    /** When its answer is due, in microseconds. */
+    /** When the answer is due, in microseconds. */
     final long deadline;
-    /** All attempts, by their numbers. */
+    /** All attempts, indexed by their number. */
     final List<Attempt> attempts = new ArrayList<>(2);
-    /** Those that are out. */
-    final List<Attempt> out = new ArrayList<>(2);
+    final List<Attempt> inFlight = new ArrayList<>(2);
     int priority = 1;
     boolean answered;
-    /** No further attempt may begin. */
+    /** Whether no further attempt may start, since the client sends nothing more. */
     boolean detached;
     private boolean mayHaveRun;
     private boolean timedOut;
@@ -28,20 +30,20 @@
         this.deadline = deadline;
     }
 
-    /** An attempt of it has ended in this way. */
-    void ended(Attempt attempt, End end) {
-        out.remove(attempt);
-        timedOut |= end == End.TIMEOUT;
-        mayHaveRun |= end != End.NOT_SENT && end != End.FULL && end != End.CONNECT_FAILED;
+    /** Records the end of an attempt. */
+    void attemptEnded(Attempt attempt, End status) {
+        inFlight.remove(attempt);
+        timedOut |= status == End.TIMEOUT;
+        mayHaveRun |= status != End.NOT_SENT && status != End.FULL && status != End.CONNECT_FAILED;
     }
 
-    /** Whether time ran out for an attempt of it. */
+    /** Whether an attempt has timed out. */
     boolean hasTimedOut() {
         return timedOut;
     }
 
-    /** The answer if it ends now without rows: refused only if it surely never ran. */
+    /** Returns the answer for a request that ends now without rows: refused only if it certainly never ran. */
     Answer unserved(String reason, long retryAfter) {
-        return mayHaveRun || !out.isEmpty() ? Answer.failed(reason, timedOut) : Answer.refused(reason, retryAfter);
+        return mayHaveRun || !inFlight.isEmpty() ? Answer.failed(reason, timedOut) : Answer.refused(reason, retryAfter);
     }
 }
--- a/src/main/java/cairnline/routing/Request.java
+++ b/src/main/java/cairnline/routing/Request.java
@@ -4,29 +4,43 @@
 import java.util.Objects;
 
 /**
- * A client's request as any front takes it. {@code id} and {@code repeatKey} pass to engines unchanged; {@code order}
- * is the key whose requests go one at a time, null without; {@code takenAt} is when its last byte was read and
- * {@code patience} how long the client waits from then, both in microseconds; {@code work} is the estimate in
- * microseconds on one core, 0 if unknown; {@code tables} is -1 if unknown.
+ * A client's request, independent of the protocol by which it was received.
+ *
+ * @param id the client's id of the request; passed to engines unchanged
+ * @param type name of the request class
+ * @param statement the statement to execute; passed to engines unchanged
+ * @param idempotencyKey passed to engines unchanged; null for none
+ * @param orderingKey requests with the same key run one at a time; null for none
+ * @param receivedAt when the last byte was read, in microseconds on the program's clock
+ * @param timeout how long the client waits from then on, in microseconds
+ * @param work estimated work in microseconds on one core; 0 if unknown
+ * @param memory estimated memory in megabytes; 0 if unknown
+ * @param tables group of tables that the request reads; -1 if unknown
+ * @param front receives the answer
+ * @param interest whether the client still waits for the answer
  */
-public record Request(String id, String type, byte[] statement, String repeatKey, Long order, long takenAt, long patience,
-                      long work, double memory, int tables, Front front, Interest interest) {
-    /** A request that its client waits for. */
-    public Request(String id, String type, byte[] statement, String repeatKey, Long order, long takenAt, long patience,
-                   long work, double memory, int tables, Front front) {
-        this(id, type, statement, repeatKey, order, takenAt, patience, work, memory, tables, front, new Interest());
+public record Request(String id, String type, byte[] statement, String idempotencyKey, Long orderingKey, long receivedAt,
+                      long timeout, long work, double memory, int tables, Front front, Interest interest) {
+    /** Creates a request whose client waits for the answer. */
+    public Request(String id, String type, byte[] statement, String idempotencyKey, Long orderingKey, long receivedAt,
+                   long timeout, long work, double memory, int tables, Front front) {
+        this(id, type, statement, idempotencyKey, orderingKey, receivedAt, timeout, work, memory, tables, front,
+                new Interest());
     }
 
-    /** Whether the client still waits, set by its front and read by links at once, ahead of the core's mailbox. */
+    /**
+     * Whether the client still waits for the answer. Links read it on their own threads, so that a change takes effect
+     * before the dispatcher processes it from its mailbox.
+     */
     public static final class Interest {
         private volatile boolean lost;
         private volatile boolean detached;
 
-        void lose() {
+        void markLost() {
             lost = true;
         }
 
-        void detach() {
+        void markDetached() {
             detached = true;
         }
     }
@@ -36,15 +50,14 @@
         return !interest.lost;
     }
 
-    /** Whether an attempt may begin. */
-    boolean mayBegin() {
+    /** Whether a further attempt may start. */
+    boolean mayStartAttempt() {
         return !interest.lost && !interest.detached;
     }
 
-
-    /** Whether another request that bears the same id is this one once more, as a client may ask on a new connection. */
-    boolean asksTheSame(Request other) {
+    /** Whether another request with the same id is a repetition of this one, as a client may send on a new connection. */
+    boolean isRepeatedBy(Request other) {
         return type.equals(other.type) && Arrays.equals(statement, other.statement)
-                && Objects.equals(repeatKey, other.repeatKey) && Objects.equals(order, other.order);
+                && Objects.equals(idempotencyKey, other.idempotencyKey) && Objects.equals(orderingKey, other.orderingKey);
     }
 }
--- a/src/main/java/cairnline/routing/RequestTrace.java
+++ b/src/main/java/cairnline/routing/RequestTrace.java
@@ -1,19 +1,20 @@
 package cairnline.routing;
 
 /**
- * Told each step of each request, by which one can be followed through the logs of all that handled it. Called on the
- * core's thread, and must not wait.
+ * Receives each step of each request, so that a request can be followed through the logs of all processes that handled it.
+ * Called on the dispatcher's thread; must not block.
  */
 public interface RequestTrace {
-    /** Told nothing. */
-    RequestTrace OFF = (step, request, engine, at, reason) -> { };
+    /** Discards all steps. */
+    RequestTrace OFF = (step, request, engine, at, detail) -> { };
 
     /**
-     * A request was {@code taken}, {@code sent} to an engine, an attempt {@code ended}, or it was {@code answered}.
+     * Records a step of a request.
      *
-     * @param engine the engine of an attempt; empty where there is none
-     * @param at microseconds on the program's clock
-     * @param reason which attempt it is, how it ended, or what was answered
+     * @param step {@code taken}, {@code sent} (an attempt to an engine), {@code ended} (an attempt) or {@code answered}
+     * @param engine the engine of the attempt; empty for steps without one
+     * @param at time of the step, in microseconds on the program's clock
+     * @param detail the number of the attempt, its status, or the kind of answer and its reason
      */
-    void step(String step, Request request, String engine, long at, String reason);
+    void step(String step, Request request, String engine, long at, String detail);
 }
--- a/src/main/java/cairnline/routing/Timers.java
+++ b/src/main/java/cairnline/routing/Timers.java
@@ -3,25 +3,25 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** What is due when; ties go in the order set. */
+/** Tasks scheduled for a time; tasks with the same time run in the order in which they were scheduled. Not thread-safe. */
 final class Timers {
-    private record Timer(long due, long number, Runnable task) { }
+    private record Timer(long dueAt, long sequence, Runnable task) { }
 
     private final PriorityQueue<Timer> timers =
-            new PriorityQueue<>(Comparator.comparingLong(Timer::due).thenComparingLong(Timer::number));
-    private long count;
+            new PriorityQueue<>(Comparator.comparingLong(Timer::dueAt).thenComparingLong(Timer::sequence));
+    private long nextSequence;
 
-    void at(long due, Runnable task) {
-        timers.add(new Timer(due, count++, task));
+    void schedule(long dueAt, Runnable task) {
+        timers.add(new Timer(dueAt, nextSequence++, task));
     }
 
-    /** The next task that is due; null if none is. */
-    Runnable due(long now) {
-        return next() <= now ? timers.poll().task : null;
+    /** Removes and returns the next task that is due; null if none is. */
+    Runnable pollDue(long now) {
+        return nextDueAt() <= now ? timers.poll().task : null;
     }
 
-    /** When the next is due; never if there is none. */
-    long next() {
-        return timers.isEmpty() ? Long.MAX_VALUE : timers.peek().due;
+    /** Returns when the next task is due; {@code Long.MAX_VALUE} if there is none. */
+    long nextDueAt() {
+        return timers.isEmpty() ? Long.MAX_VALUE : timers.peek().dueAt;
     }
 }
--- a/src/test/java/cairnline/program/DiscoveryTest.java
+++ b/src/test/java/cairnline/program/DiscoveryTest.java
@@ -177,16 +177,16 @@
                 new StandInFeed.Host("e3", stays.address(), "in_service", 0)));
         feed.show();
         until(() -> !feed.asked().isEmpty());
-        long reportedAt = System.nanoTime() / 1_000;
+        long toldAt = System.nanoTime() / 1_000;
         assertEquals("SUB 0", feed.asked().get(0));
-        while (System.nanoTime() / 1_000 < reportedAt + 2 * SECOND) {
+        while (System.nanoTime() / 1_000 < toldAt + 2 * SECOND) {
             served(client, 1);
         }
         for (StandInRespEngine gone : List.of(drained, ended)) {
             long lastSent = gone.received().stream().mapToLong(StandInRespEngine.Received::at).max().orElse(0);
-            assertTrue(lastSent <= reportedAt + SECOND, "sent " + (lastSent - reportedAt) + " us after it was told");
+            assertTrue(lastSent <= toldAt + SECOND, "sent " + (lastSent - toldAt) + " us after it was told");
         }
-        assertTrue(stays.received().stream().anyMatch(r -> r.at() > reportedAt + SECOND));
+        assertTrue(stays.received().stream().anyMatch(r -> r.at() > toldAt + SECOND));
     }
 
     @Test
--- a/src/test/java/cairnline/routing/ActorTest.java
+++ b/src/test/java/cairnline/routing/ActorTest.java
@@ -11,40 +11,40 @@
 import org.junit.jupiter.api.Test;
 
 class ActorTest {
-    private static final int STACK = 256 * 1024;
+    private static final int STACK_BYTES = 256 * 1024;
 
-    private static Actor actor(int mailbox) {
-        return new Actor("test", mailbox, mailbox, STACK, new Clock(), new Actor.Handler() {
+    private static Actor actor(int mailboxSize) {
+        return new Actor("test", mailboxSize, mailboxSize, STACK_BYTES, new Clock(), new Actor.Handler() {
             @Override
-            public void begin(long now) { }
+            public void beginTurn(long now) { }
 
             @Override
-            public long end(long now) {
+            public long endTurn(long now) {
                 return Long.MAX_VALUE;
             }
         });
     }
 
     @Test
-    void lettersGoInOrderAndABadOneEndsNothing() throws InterruptedException {
+    void runsTasksInOrderAndSurvivesFailingTask() throws InterruptedException {
         Actor actor = actor(8);
-        List<Integer> seen = new CopyOnWriteArrayList<>();
+        List<Integer> events = new CopyOnWriteArrayList<>();
         CountDownLatch done = new CountDownLatch(1);
-        actor.put(() -> seen.add(1));
+        actor.put(() -> events.add(1));
         actor.put(() -> {
-            Thread.currentThread().setUncaughtExceptionHandler((thread, e) -> seen.add(2));
+            Thread.currentThread().setUncaughtExceptionHandler((thread, e) -> events.add(2));
             throw new IllegalStateException();
         });
-        actor.put(() -> seen.add(3));
+        actor.put(() -> events.add(3));
         actor.put(done::countDown);
         actor.start();
         assertTrue(done.await(10, TimeUnit.SECONDS));
-        assertEquals(List.of(1, 2, 3), seen);
+        assertEquals(List.of(1, 2, 3), events);
         actor.stop();
     }
 
     @Test
-    void aFullMailboxTakesNoMoreAndDoesNotBlock() {
+    void rejectsTaskWithoutBlockingWhenMailboxIsFull() {
         Actor actor = actor(2);
         assertTrue(actor.offer(() -> { }));
         assertTrue(actor.offer(() -> { }));
@@ -52,17 +52,17 @@
     }
 
     @Test
-    void timersRunWhenDueAndTiesInTheOrderSet() {
+    void runsTimersWhenDueAndTiesInSchedulingOrder() {
         Timers timers = new Timers();
         StringBuilder ran = new StringBuilder();
-        timers.at(20, () -> ran.append('c'));
-        timers.at(10, () -> ran.append('a'));
-        timers.at(10, () -> ran.append('b'));
-        assertEquals(10, timers.next());
-        for (Runnable task = timers.due(10); task != null; task = timers.due(10)) {
+        timers.schedule(20, () -> ran.append('c'));
+        timers.schedule(10, () -> ran.append('a'));
+        timers.schedule(10, () -> ran.append('b'));
+        assertEquals(10, timers.nextDueAt());
+        for (Runnable task = timers.pollDue(10); task != null; task = timers.pollDue(10)) {
             task.run();
         }
         assertEquals("ab", ran.toString());
-        assertEquals(20, timers.next());
+        assertEquals(20, timers.nextDueAt());
     }
 }
--- a/src/test/java/cairnline/routing/WallClockTest.java
+++ b/src/test/java/cairnline/routing/WallClockTest.java
@@ -5,57 +5,58 @@
 
 import org.junit.jupiter.api.Test;
 
-/** A wall clock that is stepped while engines start. */
+/** Tests the conversion of engines' start times while the wall clock is stepped. */
 class WallClockTest {
-    private static final long SECOND = 1_000_000;
-    private static final long HOUR = 3_600 * SECOND;
+    private static final long SECOND_MICROS = 1_000_000;
+    private static final long HOUR_MICROS = 3_600 * SECOND_MICROS;
 
-    private long step;
+    private long stepMicros;
     private final Clock clock = new Clock();
-    private final WallClock wall = new WallClock(clock, () -> clock.micros() + step);
+    private final WallClock wallClock = new WallClock(clock, () -> clock.micros() + stepMicros);
 
     private void assertNear(long expected, long actual) {
-        assertTrue(Math.abs(expected - actual) < SECOND, () -> "off by " + (actual - expected) / SECOND + " s");
+        assertTrue(Math.abs(expected - actual) < SECOND_MICROS,
+                () -> "off by " + (actual - expected) / SECOND_MICROS + " s");
     }
 
     @Test
-    void anEngineThatStartsAfterTheClockWasSetBackDoesNotLookAnHourOld() {
-        step = -HOUR;
-        wall.sample();
+    void startAfterBackwardStepIsNotConvertedToAnHourAgo() {
+        stepMicros = -HOUR_MICROS;
+        wallClock.sample();
         long now = clock.micros();
-        assertNear(now, wall.startOf("s-1", now - HOUR));
+        assertNear(now, wallClock.startOf("s-1", now - HOUR_MICROS));
     }
 
     @Test
-    void anEngineThatStartsAfterTheClockWasSetForwardDoesNotLookUnborn() {
-        step = HOUR;
-        wall.sample();
+    void startAfterForwardStepIsNotConvertedToTheFuture() {
+        stepMicros = HOUR_MICROS;
+        wallClock.sample();
         long now = clock.micros();
-        assertNear(now, wall.startOf("s-1", now + HOUR));
+        assertNear(now, wallClock.startOf("s-1", now + HOUR_MICROS));
     }
 
     @Test
-    void anEngineThatStartedBeforeTheStepKeepsItsAge() {
-        long born = clock.micros() - 30 * SECOND;
-        for (long by : new long[] {HOUR, -HOUR}) {
-            step = by;
-            wall.sample();
-            assertNear(born, wall.startOf("s" + by, born));
+    void startBeforeStepKeepsItsAge() {
+        long startedAt = clock.micros() - 30 * SECOND_MICROS;
+        for (long step : new long[] {HOUR_MICROS, -HOUR_MICROS}) {
+            stepMicros = step;
+            wallClock.sample();
+            assertNear(startedAt, wallClock.startOf("s" + step, startedAt));
         }
     }
 
     @Test
-    void aStartThatWasToldBeforeTheStepStaysWhereItIs() {
-        long born = clock.micros() - 2 * SECOND;
-        long before = wall.startOf("s-1", born);
-        step = 3 * SECOND;
-        wall.sample();
-        assertEquals(before, wall.startOf("s-1", born));
+    void startReportedBeforeStepDoesNotMoveWithIt() {
+        long startedAt = clock.micros() - 2 * SECOND_MICROS;
+        long beforeStep = wallClock.startOf("s-1", startedAt);
+        stepMicros = 3 * SECOND_MICROS;
+        wallClock.sample();
+        assertEquals(beforeStep, wallClock.startOf("s-1", startedAt));
     }
 
     @Test
-    void nobodyStartsInTheFutureAndLongAgoStaysSo() {
-        assertTrue(wall.startOf("s-1", clock.micros() + HOUR) <= clock.micros());
-        assertEquals(0, wall.startOf("s-2", 0));
+    void futureStartIsLimitedToNowAndZeroStaysZero() {
+        assertTrue(wallClock.startOf("s-1", clock.micros() + HOUR_MICROS) <= clock.micros());
+        assertEquals(0, wallClock.startOf("s-2", 0));
     }
 }
