--- a/src/main/java/cairnline/membership/Membership.java
+++ b/src/main/java/cairnline/membership/Membership.java
@@ -127,11 +127,11 @@
                 offers.add(offer);
             }
         }
-        while (!warmUps.isEmpty() && now - warmUps.peekFirst().aliveSince >= settings.warmUp()) {
+        while (!warmUps.isEmpty() && now - warmUps.peekFirst().aliveSince >= settings.warmUpTime()) {
             WarmUp warmUp = warmUps.pollFirst();
             Member member = members.get(warmUp.id);
             if (member != null && member.aliveSince() == warmUp.aliveSince) {
-                put(member.at(now, settings.warmUp()), now);
+                put(member.at(now, settings.warmUpTime()), now);
             }
         }
         return offers;
@@ -146,7 +146,7 @@
 
     /** Returns when {@link #advanceTime} or {@link #nextProbe} is next to be called; {@code Long.MAX_VALUE} for never. */
     public long nextEventAt(long now) {
-        long warmAt = warmUps.isEmpty() ? Long.MAX_VALUE : warmUps.peekFirst().aliveSince + settings.warmUp();
+        long warmAt = warmUps.isEmpty() ? Long.MAX_VALUE : warmUps.peekFirst().aliveSince + settings.warmUpTime();
         return Math.min(warmAt, probes.nextEventAt(now, offeredCount()));
     }
 
--- a/src/main/java/cairnline/membership/TrustSettings.java
+++ b/src/main/java/cairnline/membership/TrustSettings.java
@@ -5,7 +5,7 @@
  *
  * @param halfLife time after which trust in an unconfirmed entry has halved
  * @param initialTrust trust in an entry that was confirmed just now, as a probability between 0 and 1
- * @param warmUp time for which an engine must have been alive to count as warm
+ * @param warmUpTime time for which an engine must have been alive to count as warm
  * @param probeTimeout time after which an unanswered probe counts as {@link Evidence#NO_ANSWER}
  * @param probeInterval time between two probes of an entry that needs more evidence, and the first back-off of an unhealthy
  *     one
@@ -14,7 +14,7 @@
  * @param enoughOffered number of offered engines from which on no entry is probed for the first time
  * @param retryAfter time after which a refused client should retry if no engine can be offered and no probe is scheduled
  */
-public record TrustSettings(long halfLife, double initialTrust, long warmUp, long probeTimeout, long probeInterval,
+public record TrustSettings(long halfLife, double initialTrust, long warmUpTime, long probeTimeout, long probeInterval,
                             long maxProbeInterval, int maxConcurrentProbes, int enoughOffered, long retryAfter) {
     private static final long MILLI_MICROS = 1_000;
     private static final long SECOND_MICROS = 1_000_000;
@@ -22,17 +22,17 @@
 
     /** Rejects values that are out of range; the schema of the settings file reports them earlier, with their position. */
     public TrustSettings {
-        if (halfLife <= 0 || initialTrust <= 0 || initialTrust >= 1 || warmUp < 0 || probeTimeout <= 0 || probeInterval <= 0
+        if (halfLife <= 0 || initialTrust <= 0 || initialTrust >= 1 || warmUpTime < 0 || probeTimeout <= 0 || probeInterval <= 0
                 || maxProbeInterval < probeInterval || maxConcurrentProbes < 1 || enoughOffered < 1 || retryAfter <= 0) {
             throw new IllegalArgumentException("trust settings out of range: " + halfLife + " " + initialTrust + " "
-                    + warmUp + " " + probeTimeout + " " + probeInterval + " " + maxProbeInterval + " " + maxConcurrentProbes
+                    + warmUpTime + " " + probeTimeout + " " + probeInterval + " " + maxProbeInterval + " " + maxConcurrentProbes
                     + " " + enoughOffered + " " + retryAfter);
         }
     }
 
     /** Returns the defaults, for engines with this warm-up period in microseconds. */
-    public static TrustSettings defaults(long warmUp) {
-        return new TrustSettings(6 * HOUR_MICROS, 0.95, warmUp, 400 * MILLI_MICROS, 100 * MILLI_MICROS, 5 * SECOND_MICROS, 64,
+    public static TrustSettings defaults(long warmUpTime) {
+        return new TrustSettings(6 * HOUR_MICROS, 0.95, warmUpTime, 400 * MILLI_MICROS, 100 * MILLI_MICROS, 5 * SECOND_MICROS, 64,
                 1_024, SECOND_MICROS);
     }
 }
--- a/src/main/java/cairnline/routing/Dispatcher.java
+++ b/src/main/java/cairnline/routing/Dispatcher.java
@@ -25,8 +25,8 @@
 import java.util.function.Consumer;
 
 /**
- * The actor of the decision module. It owns the open requests, their attempts and all timers, reports events to the module
- * and carries out the module's actions. It is independent of any protocol.
+ * Runs the decision module on the thread of an actor. It owns the open requests, their attempts and all timers, passes
+ * events to the module and carries out the actions that the module requests. It is independent of any protocol.
  *
  * <p>The methods for other threads only submit a task to the actor's mailbox; all state is confined to the actor's thread.
  */
@@ -275,7 +275,7 @@
         boolean isOrdered = request.orderingKey() != null;
         callModule(() -> control.request(moduleNow(), new ControlApi.Request(open.id, request.type(), "", isOrdered,
                 isOrdered ? request.orderingKey() : 0, Clock.toModuleNanos(Math.max(1, deadline - now)),
-                Clock.toModuleNanos(request.work()), request.memory(), request.tables(), false)));
+                Clock.toModuleNanos(request.work()), request.memory(), request.tableGroup(), false)));
     }
 
     private void handleAbandon(Request request) {
--- a/src/main/java/cairnline/routing/Request.java
+++ b/src/main/java/cairnline/routing/Request.java
@@ -15,16 +15,16 @@
  * @param timeout how long the client waits from then on, in microseconds
  * @param work estimated work in microseconds on one core; 0 if unknown
  * @param memory estimated memory in megabytes; 0 if unknown
- * @param tables group of tables that the request reads; -1 if unknown
+ * @param tableGroup number of the group of tables that the request uses; -1 if unknown
  * @param front receives the answer
  * @param interest whether the client still waits for the answer
  */
 public record Request(String id, String type, byte[] statement, String idempotencyKey, Long orderingKey, long receivedAt,
-                      long timeout, long work, double memory, int tables, Front front, Interest interest) {
+                      long timeout, long work, double memory, int tableGroup, Front front, Interest interest) {
     /** Creates a request whose client waits for the answer. */
     public Request(String id, String type, byte[] statement, String idempotencyKey, Long orderingKey, long receivedAt,
-                   long timeout, long work, double memory, int tables, Front front) {
-        this(id, type, statement, idempotencyKey, orderingKey, receivedAt, timeout, work, memory, tables, front,
+                   long timeout, long work, double memory, int tableGroup, Front front) {
+        this(id, type, statement, idempotencyKey, orderingKey, receivedAt, timeout, work, memory, tableGroup, front,
                 new Interest());
     }
 
