--- a/src/main/java/cairnline/membership/Membership.java
+++ b/src/main/java/cairnline/membership/Membership.java
@@ -69,7 +69,8 @@
         }
         for (ListedEngine entry : entries) {
             Member before = members.get(entry.id());
-            urgentChange |= entry.status() != Listed.READY && before != null && before.engine().status() == Listed.READY;
+            urgentChange |= entry.status() != Listed.READY && before != null
+                    && before.engine().status() == Listed.READY;
             if (entry.status() == Listed.GONE) {
                 remove(entry.id());
             } else {
--- a/src/main/java/cairnline/routing/Dispatcher.java
+++ b/src/main/java/cairnline/routing/Dispatcher.java
@@ -357,7 +357,8 @@
         if (finished.engine != null) {
             engines.attemptEnded(finished.engine);
         }
-        if (result.status() == End.OK || result.status() == End.FULL || result.status() == End.ERROR) {
+        if (result.status() == End.OK || result.status() == End.FULL
+                || result.status() == End.ERROR) {
             applyEvidence(attempt.engine(), Evidence.REQUEST_SERVED);
         }
         if (result.status() == End.OK) {
--- a/src/main/java/cairnline/routing/EngineListUpdates.java
+++ b/src/main/java/cairnline/routing/EngineListUpdates.java
@@ -9,7 +9,7 @@
     private final Actor actor;
     private volatile long lastNumber;
 
-    /** Creates an actor that is not started yet and has seen no update. */
+    /** Creates an actor that is not started yet and has received no update. */
     public EngineListUpdates(Dispatcher dispatcher, Limits limits, Clock clock) {
         this.dispatcher = dispatcher;
         int mailbox = limits.connections().mailbox();
--- a/src/main/java/cairnline/routing/EngineRegistry.java
+++ b/src/main/java/cairnline/routing/EngineRegistry.java
@@ -103,7 +103,8 @@
     }
 
     private void closeIfRemoved(Entry entry) {
-        if (entry.engine.status() == Listed.GONE && entry.attemptsInFlight == 0 && entries.remove(entry.engine.id(), entry)) {
+        if (entry.engine.status() == Listed.GONE && entry.attemptsInFlight == 0
+                && entries.remove(entry.engine.id(), entry)) {
             entry.link.close();
         }
     }
--- a/src/main/java/cairnline/routing/Limits.java
+++ b/src/main/java/cairnline/routing/Limits.java
@@ -9,7 +9,7 @@
      * @param mailbox maximum number of tasks in an actor's mailbox; whoever submits a task to a full mailbox waits
      * @param stackBytes stack size of the program's threads
      * @param openRequests maximum number of open requests
-     * @param answerMargin time by which an answer is due before the client's timeout
+     * @param answerMargin how long before the client's timeout an answer is due
      * @param drainGrace time after the start of a drain from which on nothing is sent to the engine
      * @param retryAfter advice to a refused client, where the protocol can carry it and the decision module gives none
      */
--- a/src/test/java/cairnline/membership/MembershipTest.java
+++ b/src/test/java/cairnline/membership/MembershipTest.java
@@ -213,8 +213,8 @@
     @Test
     void removesRestoredEngineWhoseAddressIsReportedForAnotherEngine() {
         restore(stored("e1", State.CONFIRMED, 0), stored("e2", State.CONFIRMED, 0));
-        ListedEngine replacement = new ListedEngine("n1", engine("e1", Listed.READY).address(), Listed.READY, "dc1", "std16",
-                0, 1, 0);
+        ListedEngine replacement = new ListedEngine("n1", engine("e1", Listed.READY).address(), Listed.READY,
+                "dc1", "std16", 0, 1, 0);
         List<ListedEngine> entries = membership.applyUpdate(NOW_MICROS, false, List.of(replacement));
         assertEquals(List.of("n1", "e1"), entries.stream().map(ListedEngine::id).toList());
         assertEquals(Listed.GONE, entries.get(1).status());
