--- a/src/main/java/cairnline/program/MeasureDiscovery.java
+++ b/src/main/java/cairnline/program/MeasureDiscovery.java
@@ -3,10 +3,10 @@
 import cairnline.control.ControlApi.Listed;
 import cairnline.membership.ListedEngine;
 import cairnline.membership.Membership;
-import cairnline.membership.Remembered;
+import cairnline.membership.StoredEngine;
 import cairnline.membership.State;
 import cairnline.membership.TrustSettings;
-import cairnline.membership.View;
+import cairnline.membership.MembershipView;
 import cairnline.standin.EngineModel;
 import cairnline.standin.StandInFeed;
 import cairnline.standin.StandInRespEngine;
@@ -81,17 +81,17 @@
     /** The first of each is what a start pays: nothing is compiled yet. */
     private void snapshots() throws IOException, SnapshotException {
         for (int engines : new int[] {10, 1_000, 10_000}) {
-            Membership membership = new Membership(TrustSettings.usual(15 * SECOND));
-            membership.told(1, true, listed(engines));
+            Membership membership = new Membership(TrustSettings.defaults(15 * SECOND));
+            membership.applyUpdate(1, true, listed(engines));
             List<Double> taken = new ArrayList<>();
             List<Double> written = new ArrayList<>();
             List<Double> read = new ArrayList<>();
             for (int i = 0; i < 21; i++) {
                 long start = System.nanoTime();
-                View view = membership.view(i);
+                MembershipView view = membership.view(i);
                 taken.add((System.nanoTime() - start) / 1e6);
                 start = System.nanoTime();
-                byte[] bytes = SnapshotCodec.encode(new Snapshot(1, view.remembered()));
+                byte[] bytes = SnapshotCodec.encode(new Snapshot(1, view.storedEngines()));
                 Path file = folder.resolve("one.snap");
                 try (var channel = java.nio.channels.FileChannel.open(file, java.nio.file.StandardOpenOption.CREATE,
                         java.nio.file.StandardOpenOption.WRITE, java.nio.file.StandardOpenOption.TRUNCATE_EXISTING)) {
@@ -111,8 +111,8 @@
 
     // ---- Starts ----
 
-    private Remembered kept(String id, String address) {
-        return new Remembered(new ListedEngine(id, address, Listed.READY, "dc1", "std16", 0, 4, 0), State.TOLD,
+    private StoredEngine kept(String id, String address) {
+        return new StoredEngine(new ListedEngine(id, address, Listed.READY, "dc1", "std16", 0, 4, 0), State.CONFIRMED,
                 System.currentTimeMillis() * 1_000 - 10 * SECOND, 0);
     }
 
@@ -120,7 +120,7 @@
             throws IOException {
         Path kept = Files.createDirectories(folder.resolve(name + "-kept-" + self));
         if (engines != null) {
-            List<Remembered> all = new ArrayList<>();
+            List<StoredEngine> all = new ArrayList<>();
             for (StandInRespEngine each : engines) {
                 all.add(kept("e" + all.size(), each.address()));
             }
--- a/src/main/java/cairnline/program/ODataServer.java
+++ b/src/main/java/cairnline/program/ODataServer.java
@@ -2,8 +2,8 @@
 
 import cairnline.logs.Events;
 import cairnline.pools.ConnectionBudget;
-import cairnline.routing.Core;
-import cairnline.routing.EngineList;
+import cairnline.routing.Dispatcher;
+import cairnline.routing.EngineListUpdates;
 import cairnline.routing.WallClock;
 import cairnline.transport.EventLoop;
 import cairnline.transport.FeedClient;
@@ -15,8 +15,8 @@
 
 /** The OData front with a core and engines of its own: engines that speak OData can't run what the platform sends. */
 final class ODataServer {
-    private final Core core;
-    private final EngineList list;
+    private final Dispatcher core;
+    private final EngineListUpdates list;
     private final ODataFront front;
     private final Listener listener;
     private final long drainMost;
@@ -25,19 +25,19 @@
     ODataServer(Configuration configuration, ODataConfiguration odata, EventLoop loop, Events log) throws IOException {
         var clock = loop.clock();
         var limits = configuration.limits();
-        drainMost = limits.shutdown().draining();
+        drainMost = limits.shutdown().drainPeriod();
         ConnectionBudget<PooledLink.Connection> connections =
-                new ConnectionBudget<>(limits.engines().connections(), limits.engines().idle());
+                new ConnectionBudget<>(limits.engines().connections(), limits.engines().idleTimeout());
         // OData has no words for a load or for notes: their absence must not count as silence.
-        core = new Core(configuration.settings().withoutReports(), configuration.seed(), limits, clock,
+        core = new Dispatcher(configuration.settings().withoutReports(), configuration.seed(), limits, clock,
                 line -> log.warn("module", line),
                 (engine, owner) -> new HttpLink(Server.reach(engine.address(), log), owner, limits, loop, connections));
-        list = new EngineList(core, limits, clock);
+        list = new EngineListUpdates(core, limits, clock);
         listener = new Listener(odata.listen(), limits.clients().connections() / 2, limits, loop, log);
         front = new ODataFront(listener, core, odata.model(), configuration.patience(), limits, log);
         feed = odata.feed() == null ? null : new FeedClient(odata.feed(), list, limits, clock, new WallClock(clock), log);
         if (!odata.engines().isEmpty()) {
-            core.listed(true, odata.engines());
+            core.listUpdated(true, odata.engines());
         }
     }
 
@@ -46,7 +46,7 @@
         if (feed != null && odata.feed() != null) {
             feed.changeAddress(odata.feed());
         } else if (!odata.engines().isEmpty()) {
-            core.listed(true, odata.engines());
+            core.listUpdated(true, odata.engines());
         }
     }
 
@@ -62,7 +62,7 @@
     /** Ends as the platform's front does; {@code done} runs when all that was taken is answered. */
     void stop(Runnable done) {
         front.announceShutdown();
-        core.stopping(done);
+        core.shutDown(done);
     }
 
     /** Ends its connections in order. */
--- a/src/main/java/cairnline/program/Server.java
+++ b/src/main/java/cairnline/program/Server.java
@@ -2,12 +2,12 @@
 
 import cairnline.logs.EventLog;
 import cairnline.logs.Events;
-import cairnline.membership.Keeper;
+import cairnline.membership.EngineListStore;
 import cairnline.pools.ConnectionBudget;
 import cairnline.protocol.FeedEvent;
 import cairnline.routing.Clock;
-import cairnline.routing.Core;
-import cairnline.routing.EngineList;
+import cairnline.routing.Dispatcher;
+import cairnline.routing.EngineListUpdates;
 import cairnline.routing.Limits;
 import cairnline.routing.Request;
 import cairnline.routing.RequestTrace;
@@ -38,8 +38,8 @@
     private final EventLog log;
     private final EventLoop loop;
     private final SnapshotKeeper keeper;
-    private final Core core;
-    private final EngineList list;
+    private final Dispatcher core;
+    private final EngineListUpdates list;
     private final FeedClient feed;
     private final ClientFront clients;
     private final ODataServer odata;
@@ -54,16 +54,16 @@
         SnapshotFolder folder = settings.snapshots() == null ? null
                 : new SnapshotFolder(settings.snapshots(), settings.store(), log);
         ConnectionBudget<PooledLink.Connection> connections =
-                new ConnectionBudget<>(limits.engines().connections(), limits.engines().idle());
+                new ConnectionBudget<>(limits.engines().connections(), limits.engines().idleTimeout());
         keeper = folder == null ? null : new SnapshotKeeper(folder, settings.store(), log, clock::micros);
-        core = new Core(configuration.settings(), configuration.seed(), limits, clock,
+        core = new Dispatcher(configuration.settings(), configuration.seed(), limits, clock,
                 line -> log.warn("module", line),
                 (engine, owner) -> new RespLink(engine.id(), reach(engine.address(), log), owner, limits, loop, connections,
                         log),
-                settings.trust(), keeper == null ? Keeper.NONE : keeper, settings.logRequests() ? this::trace : RequestTrace.OFF);
+                settings.trust(), keeper == null ? EngineListStore.NONE : keeper, settings.logRequests() ? this::trace : RequestTrace.OFF);
         // What the configuration knows is as old as the start takes: an engine may have begun to drain since.
-        core.awaitFeed();
-        list = new EngineList(core, limits, clock);
+        core.requireFeed();
+        list = new EngineListUpdates(core, limits, clock);
         feed = new FeedClient(configuration.feed(), list, limits, clock, wallClock, log);
         clients = new ClientFront(new Listener(configuration.listen(), limits.clients().connections(), limits, loop, log), core,
                 configuration.classes(), limits, log);
@@ -71,7 +71,7 @@
             remember(folder);
         }
         // As one event: its actor does not run yet, and its mailbox holds fewer than a long day has.
-        list.changed(configuration.knownLast(), true, configuration.known().stream().allMatch(e -> e.hosts() == null) ? null
+        list.submitUpdate(configuration.knownLast(), true, configuration.known().stream().allMatch(e -> e.hosts() == null) ? null
                 : FeedClient.toListedEngines(FeedEvent.standing(configuration.knownLast(), configuration.known()), wallClock));
         odata = settings.odata() == null ? null
                 : new ODataServer(configuration, settings.odata(), loop, log);
@@ -85,7 +85,7 @@
         }
         Snapshot kept = folder.newest(clock.micros());
         if (kept != null) {
-            core.remembered(kept.engines());
+            core.restoreList(kept.engines());
             log.info("snapshot.restored", "starts from the kept list until the control feed tells", "engines",
                     kept.engines().size(), "ageMs", (clock.micros() - kept.savedAt()) / 1_000);
         }
@@ -118,7 +118,7 @@
 
     private void tell(Configuration configuration) {
         configuration.known().forEach(event ->
-                list.changed(event.number(), event.whole(), FeedClient.toListedEngines(event, wallClock)));
+                list.submitUpdate(event.number(), event.whole(), FeedClient.toListedEngines(event, wallClock)));
     }
 
     /** Reads the configuration again, all of it before any of it counts; with a fault in it the old one stays. */
@@ -142,7 +142,7 @@
     private void stop() {
         CountDownLatch answered = new CountDownLatch(odata == null ? 1 : 2);
         clients.announceShutdown();
-        core.stopping(answered::countDown);
+        core.shutDown(answered::countDown);
         if (odata != null) {
             odata.stop(answered::countDown);
         }
@@ -151,12 +151,12 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        clients.drain(limits.shutdown().draining());
+        clients.drain(limits.shutdown().drainPeriod());
         if (odata != null) {
             odata.drain();
         }
         if (keeper != null) {
-            keeper.flush(limits.shutdown().draining());
+            keeper.flush(limits.shutdown().drainPeriod());
         }
         log.flush(LOG_FLUSH_MS);
         stopped.countDown();
--- /dev/null
+++ b/src/main/java/cairnline/routing/EngineListUpdates.java
@@ -0,0 +1,63 @@
+package cairnline.routing;
+
+import cairnline.membership.ListedEngine;
+import java.util.List;
+
+/** An actor that passes numbered updates of the engine list to the dispatcher, in order and each one only once. */
+public final class EngineListUpdates implements Actor.Handler {
+    private final Dispatcher dispatcher;
+    private final Actor actor;
+    private volatile long lastNumber;
+
+    /** Creates an actor that is not started yet and has received no update. */
+    public EngineListUpdates(Dispatcher dispatcher, Limits limits, Clock clock) {
+        this.dispatcher = dispatcher;
+        int mailbox = limits.connections().mailbox();
+        this.actor = new Actor("list", mailbox, mailbox, limits.routing().stackBytes(), clock, this);
+    }
+
+    /** Starts the actor's thread. */
+    public void start() {
+        actor.start();
+    }
+
+    /** Returns the number of the latest update that was passed on. Safe to call on any thread. */
+    public long lastNumber() {
+        return lastNumber;
+    }
+
+    /**
+     * Submits an update; blocks while the mailbox is full.
+     *
+     * @param number number of the update in the feed
+     * @param complete whether the update holds all engines
+     * @param entries the changed entries; null for an event that changes nothing
+     */
+    public void submitUpdate(long number, boolean complete, List<ListedEngine> entries) {
+        actor.put(() -> {
+            // After a reconnect the feed may send the latest updates once more.
+            if (number > lastNumber) {
+                lastNumber = number;
+                if (entries != null) {
+                    dispatcher.listUpdated(complete, entries);
+                }
+            }
+        });
+    }
+
+    /**
+     * Reports that the first read of the control feed is complete, its updates having been submitted before, or that the
+     * feed cannot be reached at present.
+     */
+    public void firstReadDone() {
+        actor.put(dispatcher::firstFeedReadDone);
+    }
+
+    @Override
+    public void beginTurn(long now) { }
+
+    @Override
+    public long endTurn(long now) {
+        return Long.MAX_VALUE;
+    }
+}
--- a/src/main/java/cairnline/store/SnapshotKeeper.java
+++ b/src/main/java/cairnline/store/SnapshotKeeper.java
@@ -1,8 +1,8 @@
 package cairnline.store;
 
 import cairnline.logs.Events;
-import cairnline.membership.Keeper;
-import cairnline.membership.View;
+import cairnline.membership.EngineListStore;
+import cairnline.membership.MembershipView;
 import java.io.IOException;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.Condition;
@@ -13,7 +13,7 @@
  * Writes the list on a thread of its own: whoever hands over a view waits for no disk. A view that comes while another
  * waits takes its place. Whatever fails is tried again, and service goes on.
  */
-public final class SnapshotKeeper implements Keeper {
+public final class SnapshotKeeper implements EngineListStore {
     private static final int STACK = 256 * 1024;
 
     private final SnapshotFolder folder;
@@ -23,7 +23,7 @@
     private final ReentrantLock lock = new ReentrantLock();
     private final Condition changed = lock.newCondition();
     private final Cadence cadence;
-    private View pending;
+    private MembershipView pending;
     private boolean busy;
 
     /** A keeper that does not run yet; {@code clock} gives microseconds from the Unix epoch. */
@@ -43,7 +43,7 @@
     }
 
     @Override
-    public void keep(View view, boolean urgent) {
+    public void save(MembershipView view, boolean urgent) {
         lock.lock();
         try {
             pending = view;
@@ -55,7 +55,7 @@
     }
 
     @Override
-    public long every() {
+    public long saveInterval() {
         return settings.every();
     }
 
@@ -77,7 +77,7 @@
     private void run() {
         try {
             while (true) {
-                View view = next();
+                MembershipView view = next();
                 String cause = write(view);
                 done(view, cause);
             }
@@ -86,7 +86,7 @@
         }
     }
 
-    private View next() throws InterruptedException {
+    private MembershipView next() throws InterruptedException {
         lock.lockInterruptibly();
         try {
             for (long due = cadence.due(); due > clock.getAsLong(); due = cadence.due()) {
@@ -96,7 +96,7 @@
                     changed.await(due - clock.getAsLong(), TimeUnit.MICROSECONDS);
                 }
             }
-            View view = pending;
+            MembershipView view = pending;
             pending = null;
             busy = true;
             cadence.begin(clock.getAsLong());
@@ -107,16 +107,16 @@
     }
 
     /** Null if it is on the disk, else why not. */
-    private String write(View view) {
+    private String write(MembershipView view) {
         try {
-            folder.write(SnapshotCodec.encode(new Snapshot(view.takenAt(), view.remembered())));
+            folder.write(SnapshotCodec.encode(new Snapshot(view.takenAt(), view.storedEngines())));
             return null;
         } catch (IOException | RuntimeException | OutOfMemoryError e) {
             return String.valueOf(e);
         }
     }
 
-    private void done(View view, String cause) {
+    private void done(MembershipView view, String cause) {
         lock.lock();
         try {
             busy = false;
--- a/src/main/java/cairnline/transport/ClientActivity.java
+++ b/src/main/java/cairnline/transport/ClientActivity.java
@@ -56,15 +56,15 @@
 
     /** Returns the next deadline, given the time of the last read. */
     long timeoutAt(long lastReadAt) {
-        return Math.min(lastReadAt + limits.clients().idle(), messageDeadline());
+        return Math.min(lastReadAt + limits.clients().idleTimeout(), messageDeadline());
     }
 
     /** Returns when the current or first message must be complete; {@code Long.MAX_VALUE} without such a deadline. */
     private long messageDeadline() {
         if (partialSince > 0) {
-            return partialSince + limits.clients().wholeMessage();
+            return partialSince + limits.clients().messageTimeout();
         }
-        return requestReceived ? Long.MAX_VALUE : connectedAt + limits.clients().firstMessage();
+        return requestReceived ? Long.MAX_VALUE : connectedAt + limits.clients().firstMessageTimeout();
     }
 
     /** Whether the current or first message is overdue. */
@@ -74,7 +74,7 @@
 
     /** Whether the client has been inactive for the idle time; its connection may be closed if no request is open. */
     boolean isIdle(long now) {
-        return now - lastActiveAt >= limits.clients().idle();
+        return now - lastActiveAt >= limits.clients().idleTimeout();
     }
 
     /** Whether a complete message has been received; safe for any thread. */
--- a/src/main/java/cairnline/transport/ClientFront.java
+++ b/src/main/java/cairnline/transport/ClientFront.java
@@ -1,7 +1,7 @@
 package cairnline.transport;
 
 import cairnline.logs.Events;
-import cairnline.routing.Core;
+import cairnline.routing.Dispatcher;
 import cairnline.routing.Limits;
 import java.nio.channels.SocketChannel;
 import java.util.Map;
@@ -14,7 +14,7 @@
     public record ClassRequirements(boolean needsIdempotencyKey, boolean needsOrderingKey) { }
 
     /** Creates a server at this listener for the given request classes, by their names. */
-    public ClientFront(Listener listener, Core dispatcher, Map<String, ClassRequirements> classRequirements, Limits limits,
+    public ClientFront(Listener listener, Dispatcher dispatcher, Map<String, ClassRequirements> classRequirements, Limits limits,
                        Events log) {
         super(listener, dispatcher, limits, log);
         this.classRequirements = classRequirements;
--- a/src/main/java/cairnline/transport/ClientSession.java
+++ b/src/main/java/cairnline/transport/ClientSession.java
@@ -168,7 +168,7 @@
 
     @Override
     public long timeoutAt(long lastReadAt) {
-        return isDraining() ? lastReadAt + front.limits().clients().idle() : activity.timeoutAt(lastReadAt);
+        return isDraining() ? lastReadAt + front.limits().clients().idleTimeout() : activity.timeoutAt(lastReadAt);
     }
 
     @Override
@@ -247,7 +247,7 @@
             case ClientFrames.REQUEST -> handleRequest(frame, receivedAt);
             case ClientFrames.WITHDRAWN -> cancelRequest(frame.stream());
             case ClientFrames.READY_QUESTION ->
-                    connection.send(ClientFrames.ready(frame.stream(), front.dispatcher().ready()));
+                    connection.send(ClientFrames.ready(frame.stream(), front.dispatcher().isReady()));
             default -> throw new ProtocolException("type " + frame.type() + " is not a client's");
         }
     }
@@ -299,7 +299,7 @@
         synchronized (this) {
             openRequests.put(stream, request);
         }
-        front.dispatcher().take(request);
+        front.dispatcher().submit(request);
     }
 
     private Request toRequest(ClientRequest message, long stream, long receivedAt) {
--- a/src/main/java/cairnline/transport/FeedClient.java
+++ b/src/main/java/cairnline/transport/FeedClient.java
@@ -5,7 +5,7 @@
 import cairnline.protocol.FeedEvent;
 import cairnline.protocol.ProtocolException;
 import cairnline.routing.Clock;
-import cairnline.routing.EngineList;
+import cairnline.routing.EngineListUpdates;
 import cairnline.routing.Limits;
 import cairnline.routing.WallClock;
 import cairnline.logs.Events;
@@ -21,7 +21,7 @@
 public final class FeedClient {
     private static final int READ_BUFFER_BYTES = 8192;
 
-    private final EngineList list;
+    private final EngineListUpdates list;
     private final Limits limits;
     private final Clock clock;
     private final WallClock wallClock;
@@ -32,7 +32,7 @@
     private Socket socket = new Socket();
 
     /** Creates a client, not yet started. */
-    public FeedClient(InetSocketAddress address, EngineList list, Limits limits, Clock clock, WallClock wallClock,
+    public FeedClient(InetSocketAddress address, EngineListUpdates list, Limits limits, Clock clock, WallClock wallClock,
                       Events log) {
         this.address = address;
         this.list = list;
@@ -63,8 +63,8 @@
             Socket newSocket = new Socket();
             currentAddress = registerSocket(newSocket);
             try (newSocket) {
-                newSocket.connect(currentAddress, (int) Clock.toMillis(limits.feed().connect()));
-                newSocket.getOutputStream().write(("SUB " + list.last() + "\n").getBytes(StandardCharsets.US_ASCII));
+                newSocket.connect(currentAddress, (int) Clock.toMillis(limits.feed().connectTimeout()));
+                newSocket.getOutputStream().write(("SUB " + list.lastNumber() + "\n").getBytes(StandardCharsets.US_ASCII));
                 read(newSocket, unreachable);
             } catch (IOException | RuntimeException e) {
                 // Unexpected exceptions too: if this thread ended, the engine list would never be updated again.
@@ -81,7 +81,7 @@
     private void reportFirstRead() {
         if (!firstReadReported) {
             firstReadReported = true;
-            list.asked();
+            list.firstReadDone();
         }
     }
 
@@ -92,9 +92,9 @@
 
     /** Waits for the reconnect delay, or until the address is no longer {@code previous}; false if interrupted. */
     private synchronized boolean awaitReconnect(InetSocketAddress previous) {
-        long retryAt = clock.micros() + limits.feed().pause();
+        long retryAt = clock.micros() + limits.feed().reconnectDelay();
         try {
-            for (long remaining = limits.feed().pause(); remaining > 0 && previous.equals(address);
+            for (long remaining = limits.feed().reconnectDelay(); remaining > 0 && previous.equals(address);
                     remaining = retryAt - clock.micros()) {
                 wait(Clock.toMillis(remaining));
             }
@@ -111,13 +111,13 @@
         if (wasUnreachable) {
             log.info("feed.reached", "control feed connected again");
         }
-        long deadline = clock.micros() + limits.feed().silence();
+        long deadline = clock.micros() + limits.feed().silenceTimeout();
         for (int count = readFirst(source, buffer); count >= 0; count = receive(source, buffer, deadline)) {
             bytes.feed(buffer, 0, count);
             for (int lineEnd = bytes.indexOf('\n', scannedBytes); lineEnd >= 0; lineEnd = bytes.indexOf('\n', 0)) {
                 applyEvent(FeedEvent.line(bytes.take(lineEnd)));
                 bytes.skip(1);
-                deadline = clock.micros() + limits.feed().silence();
+                deadline = clock.micros() + limits.feed().silenceTimeout();
             }
             reportFirstRead();
             scannedBytes = bytes.size();
@@ -131,7 +131,7 @@
     /** Reads the first bytes; 0 if none arrive in time, since a feed without news sends nothing until its next heartbeat. */
     private int readFirst(Socket source, byte[] buffer) throws IOException {
         try {
-            return receive(source, buffer, clock.micros() + limits.feed().firstTold());
+            return receive(source, buffer, clock.micros() + limits.feed().firstUpdateTimeout());
         } catch (SocketTimeoutException e) {
             return 0;
         }
@@ -150,7 +150,7 @@
     private void applyEvent(FeedEvent event) {
         wallClock.sample();
         if (event != null) {
-            list.changed(event.number(), event.whole(), toListedEngines(event, wallClock));
+            list.submitUpdate(event.number(), event.whole(), toListedEngines(event, wallClock));
         }
     }
 
--- a/src/main/java/cairnline/transport/HttpConnection.java
+++ b/src/main/java/cairnline/transport/HttpConnection.java
@@ -6,7 +6,7 @@
 import cairnline.protocol.ODataPages;
 import cairnline.protocol.ProtocolException;
 import cairnline.routing.Attempt;
-import cairnline.routing.Core;
+import cairnline.routing.Dispatcher;
 import cairnline.routing.Limits;
 import java.net.InetSocketAddress;
 import java.util.Map;
@@ -24,7 +24,7 @@
 
     private final HttpLink link;
     private final InetSocketAddress address;
-    private final Core dispatcher;
+    private final Dispatcher dispatcher;
     private final Limits limits;
     private final TcpConnection connection;
     private final HttpDecoder decoder;
@@ -37,7 +37,7 @@
     private ODataPages pages = new ODataPages();
     private int pageCount;
 
-    HttpConnection(HttpLink link, InetSocketAddress address, Core dispatcher, Limits limits, EventLoop loop) {
+    HttpConnection(HttpLink link, InetSocketAddress address, Dispatcher dispatcher, Limits limits, EventLoop loop) {
         this.link = link;
         this.address = address;
         this.dispatcher = dispatcher;
@@ -80,7 +80,7 @@
 
     /** Encodes the request when its turn to be written has come; null if it must not be sent any more. */
     private byte[] encodeRequest(Attempt newAttempt, long now) {
-        boolean allowed = now <= link.sendDeadline() && now < newAttempt.endsAt() && newAttempt.mayBegin();
+        boolean allowed = now <= link.sendDeadline() && now < newAttempt.deadline() && newAttempt.mayStart();
         synchronized (this) {
             if (attempt != newAttempt) {
                 return null;
@@ -91,7 +91,7 @@
             }
         }
         if (!allowed) {
-            dispatcher.ended(newAttempt, Attempt.Result.of(End.NOT_SENT));
+            dispatcher.attemptEnded(newAttempt, Attempt.Result.of(End.NOT_SENT));
             return null;
         }
         return withHost(HttpMessage.of(newAttempt.request().statement()));
@@ -165,10 +165,10 @@
         }
         if (!usable || pageCount > limits.http().pages()) {
             endAttempt(answer, Attempt.Result.of(End.ERROR));
-        } else if (nextTarget != null && current.wanted() && !answer.closes()) {
+        } else if (nextTarget != null && current.isWanted() && !answer.closes()) {
             connection.send(withHost(HttpMessage.request("GET", nextTarget, Map.of("accept", "application/json"),
                     new byte[0])));
-        } else if (nextTarget != null && current.wanted()) {
+        } else if (nextTarget != null && current.isWanted()) {
             endAttempt(answer, Attempt.Result.of(End.ERROR));
         } else {
             byte[] joined = pages.whole().bytes();
@@ -191,7 +191,7 @@
             closed |= answer.closes();
         }
         if (ended != null) {
-            dispatcher.ended(ended, result);
+            dispatcher.attemptEnded(ended, result);
         }
         if (answer.closes()) {
             close();
@@ -200,7 +200,7 @@
 
     @Override
     public long timeoutAt(long lastReadAt) {
-        return lastReadAt + limits.engines().idle();
+        return lastReadAt + limits.engines().idleTimeout();
     }
 
     /** Decides and marks the connection closed atomically, so that no attempt starts on a connection about to close. */
@@ -220,7 +220,7 @@
         }
         if (lost != null) {
             End status = requestWritten ? End.RESET : wasConnected ? End.NOT_SENT : End.CONNECT_FAILED;
-            dispatcher.ended(lost, Attempt.Result.of(status));
+            dispatcher.attemptEnded(lost, Attempt.Result.of(status));
         }
     }
 }
--- a/src/main/java/cairnline/transport/HttpLink.java
+++ b/src/main/java/cairnline/transport/HttpLink.java
@@ -2,7 +2,7 @@
 
 import cairnline.pools.ConnectionBudget;
 import cairnline.routing.Attempt;
-import cairnline.routing.Core;
+import cairnline.routing.Dispatcher;
 import cairnline.routing.Limits;
 import java.net.InetSocketAddress;
 import java.util.Map;
@@ -11,12 +11,12 @@
 /** The connections to one engine that speaks OData; each carries one request at a time. */
 public final class HttpLink extends PooledLink<HttpConnection> {
     private final InetSocketAddress address;
-    private final Core dispatcher;
+    private final Dispatcher dispatcher;
     private final Limits limits;
     private final EventLoop loop;
 
     /** Creates a link, which connects when it sends its first attempt. */
-    public HttpLink(InetSocketAddress address, Core dispatcher, Limits limits, EventLoop loop,
+    public HttpLink(InetSocketAddress address, Dispatcher dispatcher, Limits limits, EventLoop loop,
                     ConnectionBudget<Connection> budget) {
         super(limits.http().connections(), budget, loop.clock());
         this.address = address;
@@ -37,7 +37,7 @@
     }
 
     @Override
-    public void prioritise(Attempt attempt, int priority) {
+    public void setPriority(Attempt attempt, int priority) {
         // OData cannot change the priority of a running request.
     }
 
--- a/src/main/java/cairnline/transport/ODataFront.java
+++ b/src/main/java/cairnline/transport/ODataFront.java
@@ -2,7 +2,7 @@
 
 import cairnline.logs.Events;
 import cairnline.protocol.ODataModel;
-import cairnline.routing.Core;
+import cairnline.routing.Dispatcher;
 import cairnline.routing.Limits;
 import java.nio.channels.SocketChannel;
 import java.util.Map;
@@ -16,7 +16,7 @@
      * Creates a server at this listener. {@code timeouts} holds, by request class, how long clients wait that state no timeout
      * of their own, in microseconds.
      */
-    public ODataFront(Listener listener, Core dispatcher, ODataModel model, Map<String, Long> timeouts, Limits limits,
+    public ODataFront(Listener listener, Dispatcher dispatcher, ODataModel model, Map<String, Long> timeouts, Limits limits,
                       Events log) {
         super(listener, dispatcher, limits, log);
         this.model = model;
--- a/src/main/java/cairnline/transport/ODataSession.java
+++ b/src/main/java/cairnline/transport/ODataSession.java
@@ -148,7 +148,7 @@
 
     @Override
     public long timeoutAt(long lastReadAt) {
-        return inputIgnored ? lastReadAt + front.limits().clients().idle() : activity.timeoutAt(lastReadAt);
+        return inputIgnored ? lastReadAt + front.limits().clients().idleTimeout() : activity.timeoutAt(lastReadAt);
     }
 
     @Override
--- a/src/main/java/cairnline/transport/PooledLink.java
+++ b/src/main/java/cairnline/transport/PooledLink.java
@@ -83,7 +83,7 @@
     }
 
     @Override
-    public final void lastSend(long time) {
+    public final void stopSendingAfter(long time) {
         sendDeadline = time;
     }
 
@@ -92,7 +92,7 @@
     }
 
     @Override
-    public final void renew() {
+    public final void resetConnections() {
         connections.forEach(budget::remove);
         connections.forEach(Connection::close);
         connections.clear();
@@ -100,6 +100,6 @@
 
     @Override
     public final void close() {
-        renew();
+        resetConnections();
     }
 }
--- a/src/main/java/cairnline/transport/RespConnection.java
+++ b/src/main/java/cairnline/transport/RespConnection.java
@@ -9,7 +9,7 @@
 import cairnline.protocol.Resp;
 import cairnline.routing.Attempt;
 import cairnline.routing.Clock;
-import cairnline.routing.Core;
+import cairnline.routing.Dispatcher;
 import cairnline.routing.Limits;
 import cairnline.routing.Request;
 import java.io.IOException;
@@ -32,7 +32,7 @@
     private static final String PROBE_ID_PREFIX = "probe-";
 
     private final RespLink link;
-    private final Core dispatcher;
+    private final Dispatcher dispatcher;
     private final Limits limits;
     private final TcpConnection connection;
     private final Resp decoder;
@@ -57,7 +57,7 @@
     private long awaitingSince;
     private long lastReceivedAt;
 
-    RespConnection(RespLink link, Core dispatcher, Limits limits, EventLoop loop) {
+    RespConnection(RespLink link, Dispatcher dispatcher, Limits limits, EventLoop loop) {
         this.link = link;
         this.dispatcher = dispatcher;
         this.limits = limits;
@@ -131,7 +131,7 @@
 
     /** Whether a request with this id may start here: there is a free stream, and no answer to the same id may still arrive. */
     synchronized boolean canStart(String id) {
-        return !closed && exchanges.size() < limits.engines().streams() && !exchanges.containsKey(id)
+        return !closed && exchanges.size() < limits.engines().streamsPerConnection() && !exchanges.containsKey(id)
                 && !abandonedIds.containsKey(id);
     }
 
@@ -170,7 +170,7 @@
 
         @Override
         public boolean isWanted() {
-            return exchange.attempt.wanted();
+            return exchange.attempt.isWanted();
         }
     }
 
@@ -178,7 +178,7 @@
     private byte[] encodeCommand(Exchange exchange, long now) {
         Attempt attempt = exchange.attempt;
         Request request = attempt.request();
-        boolean allowed = now <= link.sendDeadline() && now < attempt.endsAt() && attempt.mayBegin();
+        boolean allowed = now <= link.sendDeadline() && now < attempt.deadline() && attempt.mayStart();
         synchronized (this) {
             if (exchanges.get(request.id()) != exchange) {
                 return null;
@@ -190,14 +190,14 @@
             }
         }
         if (!allowed) {
-            dispatcher.ended(attempt, Attempt.Result.of(End.NOT_SENT));
+            dispatcher.attemptEnded(attempt, Attempt.Result.of(End.NOT_SENT));
             return null;
         }
         Map<String, String> fields = new LinkedHashMap<>();
         fields.put("profile", request.type());
-        fields.put("max", Long.toString(Clock.toMillis(attempt.endsAt() - now)));
-        if (request.repeatKey() != null) {
-            fields.put("replay", request.repeatKey());
+        fields.put("max", Long.toString(Clock.toMillis(attempt.deadline() - now)));
+        if (request.idempotencyKey() != null) {
+            fields.put("replay", request.idempotencyKey());
         }
         fields.put("rank", Integer.toString(attempt.priority()));
         return Resp.array(utf8("do"), utf8(request.id()), utf8(Resp.fields(fields)), request.statement());
@@ -288,7 +288,7 @@
             // Message boundaries are lost from here on; closing the connection ends the attempts in flight on it.
             synchronized (this) {
                 closed = true;
-                closeEvidence = Evidence.UNREADABLE;
+                closeEvidence = Evidence.MALFORMED;
             }
             close();
         }
@@ -327,7 +327,7 @@
             return;
         }
         boolean isPaged = exchange.result.count() > 1;
-        if (isPaged && !exchange.attempt.wanted()) {
+        if (isPaged && !exchange.attempt.isWanted()) {
             endEarly(exchange, Attempt.Result.of(End.OK));
             return;
         }
@@ -342,7 +342,7 @@
         if (!exchange.result.awaits(message.page())) {
             return;
         }
-        if (exchange.attempt.wanted()) {
+        if (exchange.attempt.isWanted()) {
             storePage(exchange, message.page(), message.body());
         } else {
             endEarly(exchange, Attempt.Result.of(End.OK));
@@ -367,9 +367,9 @@
 
     private void reportStatus(Attempt attempt, EngineMessage message) {
         switch (message.note()) {
-            case "advance" -> dispatcher.noted(attempt, NoteKind.PROGRESS, message.amount());
-            case "disk" -> dispatcher.noted(attempt, NoteKind.SPILL, message.amount());
-            case "stall" -> dispatcher.noted(attempt,
+            case "advance" -> dispatcher.statusReceived(attempt, NoteKind.PROGRESS, message.amount());
+            case "disk" -> dispatcher.statusReceived(attempt, NoteKind.SPILL, message.amount());
+            case "stall" -> dispatcher.statusReceived(attempt,
                     message.amount() >= 2 ? NoteKind.WAITS_LOAD : NoteKind.WAITS_MEMORY, message.amount());
             default -> { }
         }
@@ -381,18 +381,18 @@
             if (!exchanges.remove(id, exchange)) {
                 return;
             }
-            if (result.end() != End.OK || !exchange.result.isWhole()) {
+            if (result.status() != End.OK || !exchange.result.isWhole()) {
                 // The next attempt of the request has the same id, and must not receive an answer to this one that still arrives.
                 abandonedIds.put(id, Boolean.TRUE);
             }
         }
-        dispatcher.ended(exchange.attempt, result);
+        dispatcher.attemptEnded(exchange.attempt, result);
     }
 
     @Override
     public long timeoutAt(long lastReadAt) {
-        long idleOrSilence = Math.min(limits.engines().idle(), limits.engines().silence());
-        return lastReadAt + (decoder.partial() ? limits.engines().partialAnswer() : idleOrSilence);
+        long idleOrSilence = Math.min(limits.engines().idleTimeout(), limits.engines().silenceTimeout());
+        return lastReadAt + (decoder.partial() ? limits.engines().partialAnswerTimeout() : idleOrSilence);
     }
 
     /**
@@ -403,10 +403,10 @@
     public synchronized boolean onTimeout(long now) {
         long quietTime = now - Math.max(awaitingSince, lastReceivedAt);
         boolean idle = exchanges.isEmpty() && probes.isEmpty();
-        if (decoder.partial() || !idle && quietTime >= limits.engines().silence()) {
-            closeEvidence = Evidence.SILENCE;
+        if (decoder.partial() || !idle && quietTime >= limits.engines().silenceTimeout()) {
+            closeEvidence = Evidence.NO_ANSWER;
         }
-        closed |= decoder.partial() || quietTime >= (idle ? limits.engines().idle() : limits.engines().silence());
+        closed |= decoder.partial() || quietTime >= (idle ? limits.engines().idleTimeout() : limits.engines().silenceTimeout());
         return !closed;
     }
 
@@ -418,7 +418,7 @@
         synchronized (this) {
             closed = true;
             boolean interrupted = wasConnected && !closedLocally && !(exchanges.isEmpty() && probes.isEmpty());
-            evidence = closeEvidence == null && interrupted ? Evidence.RESET : closeEvidence;
+            evidence = closeEvidence == null && interrupted ? Evidence.CONNECTION_RESET : closeEvidence;
             inFlight = new ArrayList<>(exchanges.values());
             openProbes = new ArrayList<>(probes.values());
             exchanges.clear();
@@ -430,11 +430,11 @@
                             .collect(Collectors.joining(" ")));
         }
         if (evidence != null) {
-            dispatcher.witnessed(link.engine(), evidence);
+            dispatcher.evidenceObserved(link.engine(), evidence);
         }
         for (Exchange exchange : inFlight) {
             End status = exchange.written ? End.RESET : wasConnected ? End.NOT_SENT : End.CONNECT_FAILED;
-            dispatcher.ended(exchange.attempt, Attempt.Result.of(status));
+            dispatcher.attemptEnded(exchange.attempt, Attempt.Result.of(status));
         }
         openProbes.forEach(probe -> probe.answer.accept(null));
     }
--- a/src/main/java/cairnline/transport/RespLink.java
+++ b/src/main/java/cairnline/transport/RespLink.java
@@ -3,7 +3,7 @@
 import cairnline.logs.Events;
 import cairnline.pools.ConnectionBudget;
 import cairnline.routing.Attempt;
-import cairnline.routing.Core;
+import cairnline.routing.Dispatcher;
 import cairnline.routing.Limits;
 import java.net.InetSocketAddress;
 import java.util.Map;
@@ -13,15 +13,15 @@
 public final class RespLink extends PooledLink<RespConnection> {
     private final String engine;
     private final InetSocketAddress address;
-    private final Core dispatcher;
+    private final Dispatcher dispatcher;
     private final Limits limits;
     private final EventLoop loop;
     private final Events log;
 
     /** Creates a link to the engine with this id, which connects when it first sends something. */
-    public RespLink(String engine, InetSocketAddress address, Core dispatcher, Limits limits, EventLoop loop,
+    public RespLink(String engine, InetSocketAddress address, Dispatcher dispatcher, Limits limits, EventLoop loop,
                     ConnectionBudget<Connection> budget, Events log) {
-        super(limits.engines().connectionsEach(), budget, loop.clock());
+        super(limits.engines().connectionsPerEngine(), budget, loop.clock());
         this.engine = engine;
         this.address = address;
         this.dispatcher = dispatcher;
@@ -50,7 +50,7 @@
      */
     private RespConnection acquireConnection(String id) {
         return acquire(candidate -> candidate.canStart(id), RespConnection::openRequestCount,
-                limits.engines().streamsSpread(), () -> {
+                limits.engines().streamsBeforeNewConnection(), () -> {
                     RespConnection newConnection = new RespConnection(this, dispatcher, limits, loop);
                     newConnection.connect(address);
                     return newConnection;
@@ -58,7 +58,7 @@
     }
 
     @Override
-    public void prioritise(Attempt attempt, int priority) {
+    public void setPriority(Attempt attempt, int priority) {
         connections().forEach(connection -> connection.setPriority(attempt, priority));
     }
 
--- a/src/main/java/cairnline/transport/SocketFront.java
+++ b/src/main/java/cairnline/transport/SocketFront.java
@@ -2,7 +2,7 @@
 
 import cairnline.logs.Events;
 import cairnline.routing.Clock;
-import cairnline.routing.Core;
+import cairnline.routing.Dispatcher;
 import cairnline.routing.Limits;
 import java.nio.channels.SocketChannel;
 import java.util.concurrent.CountDownLatch;
@@ -12,13 +12,13 @@
 /** Base of the client-facing servers: a listener whose sessions pass their requests to the dispatcher. */
 public abstract class SocketFront {
     private final Listener listener;
-    private final Core dispatcher;
+    private final Dispatcher dispatcher;
     private final Limits limits;
     private final Events log;
     private final AtomicLong heldBytes = new AtomicLong();
     private volatile boolean stopping;
 
-    SocketFront(Listener listener, Core dispatcher, Limits limits, Events log) {
+    SocketFront(Listener listener, Dispatcher dispatcher, Limits limits, Events log) {
         this.listener = listener;
         this.dispatcher = dispatcher;
         this.limits = limits;
@@ -70,7 +70,7 @@
         return stopping;
     }
 
-    Core dispatcher() {
+    Dispatcher dispatcher() {
         return dispatcher;
     }
 
--- a/src/main/java/cairnline/transport/StandInEngine.java
+++ b/src/main/java/cairnline/transport/StandInEngine.java
@@ -84,7 +84,7 @@
 
         @Override
         public long timeoutAt(long lastReadAt) {
-            return lastReadAt + limits.engines().idle();
+            return lastReadAt + limits.engines().idleTimeout();
         }
 
         @Override
--- a/src/main/java/cairnline/transport/TcpConnection.java
+++ b/src/main/java/cairnline/transport/TcpConnection.java
@@ -167,7 +167,7 @@
         if (connectedAtOnce) {
             onConnected();
         } else {
-            timer = loop.schedule(clock.micros() + limits.connections().connect(), this,
+            timer = loop.schedule(clock.micros() + limits.connections().connectTimeout(), this,
                     () -> failConnect(new SocketTimeoutException("connect timed out")));
         }
     }
@@ -463,7 +463,7 @@
     }
 
     private long nextTimeoutAt() {
-        long writeStallAt = writeBlockedSince == 0 ? Long.MAX_VALUE : writeBlockedSince + limits.connections().writeStall();
+        long writeStallAt = writeBlockedSince == 0 ? Long.MAX_VALUE : writeBlockedSince + limits.connections().writeStallTimeout();
         long waitUntil = finishingOutput ? lingerUntil : handler.timeoutAt(lastReadAt);
         return Math.min(writeStallAt, waitUntil);
     }
@@ -479,7 +479,7 @@
     }
 
     private void handleTimeout(long now) {
-        if (writeBlockedSince > 0 && now - writeBlockedSince >= limits.connections().writeStall()) {
+        if (writeBlockedSince > 0 && now - writeBlockedSince >= limits.connections().writeStallTimeout()) {
             closeNow("write timed out: peer does not read");
         } else if (now >= lingerUntil) {
             closeNow("peer did not close its side in time");
--- a/src/main/java/cairnline/transport/Threads.java
+++ b/src/main/java/cairnline/transport/Threads.java
@@ -1,6 +1,6 @@
 package cairnline.transport;
 
-import cairnline.routing.Vital;
+import cairnline.routing.CriticalThread;
 import java.io.Closeable;
 import java.io.IOException;
 
@@ -10,7 +10,7 @@
 
     /** Starts a daemon thread whose end must end the process, since the program cannot serve requests without it. */
     static void startCritical(String name, int stackBytes, Runnable task) {
-        Thread thread = new Thread(null, Vital.task(task), name, stackBytes);
+        Thread thread = new Thread(null, CriticalThread.wrap(task), name, stackBytes);
         thread.setDaemon(true);
         thread.start();
     }
--- a/src/main/java/cairnline/transport/UnreachableCause.java
+++ b/src/main/java/cairnline/transport/UnreachableCause.java
@@ -9,9 +9,9 @@
 /** Why a connection could not be established, and what that says about the engine's state. */
 enum UnreachableCause {
     /** The address refused the connection. */
-    REFUSED(Evidence.REFUSED),
+    REFUSED(Evidence.CONNECTION_REFUSED),
     /** Connecting timed out, or there is no route to the address. */
-    NO_ANSWER(Evidence.SILENCE),
+    NO_ANSWER(Evidence.NO_ANSWER),
     /** A local problem such as a lack of sockets, ports or memory, which says nothing about the engine. */
     LOCAL(null);
 
--- a/src/test/java/cairnline/program/DiscoveryTest.java
+++ b/src/test/java/cairnline/program/DiscoveryTest.java
@@ -5,7 +5,7 @@
 
 import cairnline.control.ControlApi.Listed;
 import cairnline.membership.ListedEngine;
-import cairnline.membership.Remembered;
+import cairnline.membership.StoredEngine;
 import cairnline.membership.State;
 import cairnline.standin.EngineModel;
 import cairnline.standin.StandInFeed;
@@ -82,13 +82,13 @@
         return System.currentTimeMillis() * 1_000;
     }
 
-    private static Remembered kept(String id, String address, State last, long age) {
-        Listed listed = last == State.LEAVING ? Listed.DRAINING : Listed.READY;
-        return new Remembered(new ListedEngine(id, address, listed, "dc1", "std16", 0, 4, 0), last, unixMicros() - age, 0);
+    private static StoredEngine kept(String id, String address, State last, long age) {
+        Listed listed = last == State.DRAINING ? Listed.DRAINING : Listed.READY;
+        return new StoredEngine(new ListedEngine(id, address, listed, "dc1", "std16", 0, 4, 0), last, unixMicros() - age, 0);
     }
 
-    private static Remembered kept(String id, StandInRespEngine engine) {
-        return kept(id, engine.address(), State.TOLD, 10 * SECOND);
+    private static StoredEngine kept(String id, StandInRespEngine engine) {
+        return kept(id, engine.address(), State.CONFIRMED, 10 * SECOND);
     }
 
     private Path snapshots(int self) {
@@ -96,7 +96,7 @@
     }
 
     /** A manager that finds this list on its disk. */
-    private ManagerProcess manager(int self, int fronts, String known, Remembered... kept) throws IOException {
+    private ManagerProcess manager(int self, int fronts, String known, StoredEngine... kept) throws IOException {
         Files.createDirectories(snapshots(self));
         Files.write(snapshots(self).resolve("list-0000000000000007.snap"),
                 SnapshotCodec.encode(new Snapshot(unixMicros(), List.of(kept))));
@@ -106,7 +106,7 @@
         return manager;
     }
 
-    private ManagerProcess manager(Remembered... kept) throws IOException {
+    private ManagerProcess manager(StoredEngine... kept) throws IOException {
         return manager(0, 1, "{\"n\": 0, \"events\": []}", kept);
     }
 
@@ -140,7 +140,7 @@
         try (Stream<Path> files = Files.list(snapshots)) {
             Path newest = files.filter(f -> f.toString().endsWith(".snap")).sorted().reduce((a, b) -> b).orElseThrow();
             return SnapshotCodec.decode(Files.readAllBytes(newest)).engines().stream()
-                    .collect(Collectors.toMap(each -> each.engine().id(), Remembered::last));
+                    .collect(Collectors.toMap(each -> each.engine().id(), StoredEngine::lastState));
         }
     }
 
@@ -193,7 +193,7 @@
     void whatWasDrainingWhenTheListWasKeptGetsNothing() throws Exception {
         StandInRespEngine leaving = engine();
         StandInRespEngine stays = engine();
-        ToyClient client = client(manager(kept("e1", leaving.address(), State.LEAVING, YEAR), kept("e2", stays)));
+        ToyClient client = client(manager(kept("e1", leaving.address(), State.DRAINING, YEAR), kept("e2", stays)));
         served(client, 20);
         assertEquals(List.of(), leaving.received());
     }
@@ -212,7 +212,7 @@
         assertEquals(30, real.received().size());
         until(() -> silent.connects() > 0 && foreign.connects() > 0);
         assertEquals(0, manager.end());
-        assertEquals(Map.of("gone", State.ILL, "silent", State.ILL, "foreign", State.MISTAKEN, "real", State.ALIVE),
+        assertEquals(Map.of("gone", State.UNHEALTHY, "silent", State.UNHEALTHY, "foreign", State.MISIDENTIFIED, "real", State.ALIVE),
                 last(snapshots(0)));
     }
 
@@ -227,15 +227,15 @@
         until(() -> !feed.asked().isEmpty());
         served(client, 5);
         assertEquals(0, manager.end());
-        assertEquals(Map.of("new", State.TOLD), last(snapshots(0)));
+        assertEquals(Map.of("new", State.CONFIRMED), last(snapshots(0)));
     }
 
     @Test
     void withEveryEntryStaleItServesAllTheSameOnceTheyHaveShownThemselves() throws Exception {
         StandInRespEngine one = engine();
         StandInRespEngine two = engine();
-        ManagerProcess manager = manager(kept("e1", one.address(), State.TOLD, YEAR),
-                kept("e2", two.address(), State.TOLD, 2 * YEAR));
+        ManagerProcess manager = manager(kept("e1", one.address(), State.CONFIRMED, YEAR),
+                kept("e2", two.address(), State.CONFIRMED, 2 * YEAR));
         served(client(manager), 20);
     }
 
--- a/src/test/java/cairnline/program/FirstAskTest.java
+++ b/src/test/java/cairnline/program/FirstAskTest.java
@@ -5,8 +5,8 @@
 
 import cairnline.logs.EventLog;
 import cairnline.routing.Clock;
-import cairnline.routing.Core;
-import cairnline.routing.EngineList;
+import cairnline.routing.Dispatcher;
+import cairnline.routing.EngineListUpdates;
 import cairnline.routing.Limits;
 import cairnline.routing.WallClock;
 import cairnline.standin.StandInFeed;
@@ -44,28 +44,28 @@
     /** The program's limits, but for the time that a feed has to tell what it has. */
     private Limits limits(long firstTold) {
         Limits usual = configuration.limits();
-        Limits.Feed feed = new Limits.Feed(usual.feed().connect(), usual.feed().pause(), usual.feed().silence(), firstTold,
+        Limits.Feed feed = new Limits.Feed(usual.feed().connectTimeout(), usual.feed().reconnectDelay(), usual.feed().silenceTimeout(), firstTold,
                 usual.feed().lineBytes());
         return new Limits(usual.routing(), usual.connections(), usual.clients(), usual.engines(), feed, usual.shutdown(),
                 usual.http());
     }
 
     /** A core that has a list and follows this feed. */
-    private Core follow(InetSocketAddress feed, Limits limits) {
-        Core core = new Core(configuration.settings(), configuration.seed(), limits, clock, line -> { },
+    private Dispatcher follow(InetSocketAddress feed, Limits limits) {
+        Dispatcher core = new Dispatcher(configuration.settings(), configuration.seed(), limits, clock, line -> { },
                 (engine, owner) -> null);
-        core.awaitFeed();
-        EngineList list = new EngineList(core, limits, clock);
-        list.changed(1, true, List.of());
+        core.requireFeed();
+        EngineListUpdates list = new EngineListUpdates(core, limits, clock);
+        list.submitUpdate(1, true, List.of());
         core.start();
         list.start();
         new FeedClient(feed, list, limits, clock, new WallClock(clock), new EventLog(EventLog.Format.TEXT, 16)).start();
         return core;
     }
 
-    private static void untilReady(Core core) {
+    private static void untilReady(Dispatcher core) {
         long limit = System.nanoTime() + TimeUnit.SECONDS.toNanos(LIMIT_S);
-        while (!core.ready()) {
+        while (!core.isReady()) {
             assertTrue(System.nanoTime() < limit, "never ready");
             Thread.onSpinWait();
         }
@@ -74,10 +74,10 @@
     @Test
     void itIsReadyOnceTheFeedHasTold() throws Exception {
         try (ServerSocket feed = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
-            Core core = follow(new InetSocketAddress("127.0.0.1", feed.getLocalPort()),
+            Dispatcher core = follow(new InetSocketAddress("127.0.0.1", feed.getLocalPort()),
                     limits(TimeUnit.HOURS.toMicros(1)));
             try (Socket follower = feed.accept()) {
-                assertFalse(core.ready(), "ready before the feed was asked");
+                assertFalse(core.isReady(), "ready before the feed was asked");
                 new BufferedReader(new InputStreamReader(follower.getInputStream(), StandardCharsets.US_ASCII)).readLine();
                 follower.getOutputStream().write("1\n".getBytes(StandardCharsets.US_ASCII));
                 untilReady(core);
--- a/src/test/java/cairnline/transport/TestLimits.java
+++ b/src/test/java/cairnline/transport/TestLimits.java
@@ -19,7 +19,7 @@
     static Limits withLinger(Limits original, long linger, int ignoredBytes) {
         Limits.Connections originalConnections = original.connections();
         Limits.Connections connections = new Limits.Connections(originalConnections.mailbox(), linger, ignoredBytes,
-                originalConnections.writeStall(), originalConnections.connect());
+                originalConnections.writeStallTimeout(), originalConnections.connectTimeout());
         return new Limits(original.routing(), connections, original.clients(), original.engines(), original.feed(),
                 original.shutdown(), original.http());
     }
