--- a/src/main/java/cairnline/program/Server.java
+++ b/src/main/java/cairnline/program/Server.java
@@ -60,7 +60,8 @@
                 line -> log.warn("module", line),
                 (engine, owner) -> new RespLink(engine.id(), reach(engine.address(), log), owner, limits, loop, connections,
                         log),
-                settings.trust(), keeper == null ? EngineListStore.NONE : keeper, settings.logRequests() ? this::trace : RequestTrace.OFF);
+                settings.trust(), keeper == null ? EngineListStore.NONE : keeper,
+                settings.logRequests() ? this::trace : RequestTrace.OFF);
         // What the configuration knows is as old as the start takes: an engine may have begun to drain since.
         core.requireFeed();
         list = new EngineListUpdates(core, limits, clock);
--- a/src/main/java/cairnline/transport/TcpConnection.java
+++ b/src/main/java/cairnline/transport/TcpConnection.java
@@ -463,7 +463,8 @@
     }
 
     private long nextTimeoutAt() {
-        long writeStallAt = writeBlockedSince == 0 ? Long.MAX_VALUE : writeBlockedSince + limits.connections().writeStallTimeout();
+        long writeStallAt = writeBlockedSince == 0 ? Long.MAX_VALUE
+                : writeBlockedSince + limits.connections().writeStallTimeout();
         long waitUntil = finishingOutput ? lingerUntil : handler.timeoutAt(lastReadAt);
         return Math.min(writeStallAt, waitUntil);
     }
