--- a/src/main/java/cairnline/logs/EventLog.java
+++ b/src/main/java/cairnline/logs/EventLog.java
@@ -13,7 +13,7 @@
  * log's own, which also sets up the library, so that a program that logs nothing does not load it. What finds the queue full is
  * dropped and counted.
  */
-public final class EventLog implements Events {
+public final class EventLog implements EventSink {
     /** How events are written. */
     public enum Format { TEXT, JSON }
 
--- a/src/main/java/cairnline/logs/Events.java
+++ b/src/main/java/cairnline/logs/EventSink.java
@@ -1,9 +1,9 @@
 package cairnline.logs;
 
 /** Where events are told: a name that stays the same from release to release, words for people, and pairs. */
-public interface Events {
+public interface EventSink {
     /** Told nothing. */
-    Events NONE = (severity, name, words, pairs) -> { };
+    EventSink NONE = (severity, name, words, pairs) -> { };
 
     /** How much an event matters. */
     enum Severity {
--- a/src/main/java/cairnline/program/ODataServer.java
+++ b/src/main/java/cairnline/program/ODataServer.java
@@ -1,6 +1,6 @@
 package cairnline.program;
 
-import cairnline.logs.Events;
+import cairnline.logs.EventSink;
 import cairnline.pools.ConnectionBudget;
 import cairnline.routing.Core;
 import cairnline.routing.EngineList;
@@ -22,7 +22,7 @@
     private final long drainMost;
     private final FeedClient feed;
 
-    ODataServer(Configuration configuration, ODataConfiguration odata, EventLoop loop, Events log) throws IOException {
+    ODataServer(Configuration configuration, ODataConfiguration odata, EventLoop loop, EventSink log) throws IOException {
         var clock = loop.clock();
         var limits = configuration.limits();
         drainMost = limits.shutdown().draining();
--- a/src/main/java/cairnline/program/RehearseCommand.java
+++ b/src/main/java/cairnline/program/RehearseCommand.java
@@ -1,6 +1,6 @@
 package cairnline.program;
 
-import cairnline.logs.Events;
+import cairnline.logs.EventSink;
 import cairnline.routing.Clock;
 import cairnline.routing.Limits;
 import cairnline.transport.EventLoop;
@@ -29,7 +29,7 @@
         Limits limits = Configuration.defaultLimits();
         EventLoop loop = new EventLoop("stand-in", limits.routing().stackBytes(), new Clock());
         loop.start();
-        Listener listener = new Listener(read.standIn(), limits.clients().connections(), limits, loop, Events.NONE);
+        Listener listener = new Listener(read.standIn(), limits.clients().connections(), limits, loop, EventSink.NONE);
         new StandInEngine(listener, limits).start();
         System.out.println("stand-in engine listens at " + read.standIn());
         Thread.currentThread().join();
--- a/src/main/java/cairnline/program/Server.java
+++ b/src/main/java/cairnline/program/Server.java
@@ -1,7 +1,7 @@
 package cairnline.program;
 
 import cairnline.logs.EventLog;
-import cairnline.logs.Events;
+import cairnline.logs.EventSink;
 import cairnline.membership.Keeper;
 import cairnline.pools.ConnectionBudget;
 import cairnline.protocol.FeedEvent;
@@ -164,7 +164,7 @@
     }
 
     /** An address that can't be read is one that can't be reached; the other engines of its event still count. */
-    static InetSocketAddress reach(String address, Events log) {
+    static InetSocketAddress reach(String address, EventSink log) {
         try {
             return Configuration.address("dial", address);
         } catch (ConfigurationException e) {
--- a/src/main/java/cairnline/store/SnapshotFolder.java
+++ b/src/main/java/cairnline/store/SnapshotFolder.java
@@ -1,6 +1,6 @@
 package cairnline.store;
 
-import cairnline.logs.Events;
+import cairnline.logs.EventSink;
 import cairnline.store.SnapshotException.Cause;
 import java.io.IOException;
 import java.nio.file.Path;
@@ -20,16 +20,16 @@
 
     private final Disk disk;
     private final StoreSettings settings;
-    private final Events log;
+    private final EventSink log;
 
-    SnapshotFolder(Disk disk, StoreSettings settings, Events log) {
+    SnapshotFolder(Disk disk, StoreSettings settings, EventSink log) {
         this.disk = disk;
         this.settings = settings;
         this.log = log;
     }
 
     /** The snapshots in a folder, which need not be there yet. */
-    public SnapshotFolder(Path folder, StoreSettings settings, Events log) {
+    public SnapshotFolder(Path folder, StoreSettings settings, EventSink log) {
         this(new FolderDisk(folder), settings, log);
     }
 
--- a/src/main/java/cairnline/store/SnapshotKeeper.java
+++ b/src/main/java/cairnline/store/SnapshotKeeper.java
@@ -1,6 +1,6 @@
 package cairnline.store;
 
-import cairnline.logs.Events;
+import cairnline.logs.EventSink;
 import cairnline.membership.Keeper;
 import cairnline.membership.View;
 import java.io.IOException;
@@ -18,7 +18,7 @@
 
     private final SnapshotFolder folder;
     private final StoreSettings settings;
-    private final Events log;
+    private final EventSink log;
     private final LongSupplier clock;
     private final ReentrantLock lock = new ReentrantLock();
     private final Condition changed = lock.newCondition();
@@ -27,7 +27,7 @@
     private boolean busy;
 
     /** A keeper that does not run yet; {@code clock} gives microseconds from the Unix epoch. */
-    public SnapshotKeeper(SnapshotFolder folder, StoreSettings settings, Events log, LongSupplier clock) {
+    public SnapshotKeeper(SnapshotFolder folder, StoreSettings settings, EventSink log, LongSupplier clock) {
         this.folder = folder;
         this.settings = settings;
         this.log = log;
--- a/src/main/java/cairnline/transport/ClientFront.java
+++ b/src/main/java/cairnline/transport/ClientFront.java
@@ -1,6 +1,6 @@
 package cairnline.transport;
 
-import cairnline.logs.Events;
+import cairnline.logs.EventSink;
 import cairnline.routing.Core;
 import cairnline.routing.Limits;
 import java.nio.channels.SocketChannel;
@@ -14,7 +14,7 @@
     public record ClassRules(boolean keyed, boolean ordered) { }
 
     /** A front at this listener. */
-    public ClientFront(Listener listener, Core core, Map<String, ClassRules> classes, Limits limits, Events log) {
+    public ClientFront(Listener listener, Core core, Map<String, ClassRules> classes, Limits limits, EventSink log) {
         super(listener, core, limits, log);
         this.classes = classes;
     }
--- a/src/main/java/cairnline/transport/FeedClient.java
+++ b/src/main/java/cairnline/transport/FeedClient.java
@@ -8,7 +8,7 @@
 import cairnline.routing.EngineList;
 import cairnline.routing.Limits;
 import cairnline.routing.WallClock;
-import cairnline.logs.Events;
+import cairnline.logs.EventSink;
 import cairnline.membership.ListedEngine;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -25,7 +25,7 @@
     private final Limits limits;
     private final Clock clock;
     private final WallClock wallClock;
-    private final Events log;
+    private final EventSink log;
     private InetSocketAddress address;
     private boolean asked;
     /** The connection to that address; closing it wakes the thread that follows. */
@@ -33,7 +33,7 @@
 
     /** A client that does not follow yet. */
     public FeedClient(InetSocketAddress address, EngineList list, Limits limits, Clock clock, WallClock wallClock,
-                      Events log) {
+                      EventSink log) {
         this.address = address;
         this.list = list;
         this.limits = limits;
--- a/src/main/java/cairnline/transport/Listener.java
+++ b/src/main/java/cairnline/transport/Listener.java
@@ -1,6 +1,6 @@
 package cairnline.transport;
 
-import cairnline.logs.Events;
+import cairnline.logs.EventSink;
 import cairnline.routing.Clock;
 import cairnline.routing.Limits;
 import java.io.IOException;
@@ -34,7 +34,7 @@
     private final Limits limits;
     private final int most;
     private final Clock clock;
-    private final Events log;
+    private final EventSink log;
     private Function<SocketChannel, Session> open;
 
     /* Only the loop's thread touches what follows. */
@@ -84,7 +84,7 @@
     }
 
     /** Listens; fails if the address can't be had. */
-    public Listener(InetSocketAddress address, int most, Limits limits, EventLoop loop, Events log) throws IOException {
+    public Listener(InetSocketAddress address, int most, Limits limits, EventLoop loop, EventSink log) throws IOException {
         this.limits = limits;
         this.loop = loop;
         this.clock = loop.clock();
--- a/src/main/java/cairnline/transport/ODataFront.java
+++ b/src/main/java/cairnline/transport/ODataFront.java
@@ -1,6 +1,6 @@
 package cairnline.transport;
 
-import cairnline.logs.Events;
+import cairnline.logs.EventSink;
 import cairnline.protocol.ODataModel;
 import cairnline.routing.Core;
 import cairnline.routing.Limits;
@@ -14,7 +14,7 @@
 
     /** A front at this listener; {@code patience} is how long clients of a class wait that do not say, in microseconds. */
     public ODataFront(Listener listener, Core core, ODataModel model, Map<String, Long> patience, Limits limits,
-                      Events log) {
+                      EventSink log) {
         super(listener, core, limits, log);
         this.model = model;
         this.patience = patience;
--- a/src/main/java/cairnline/transport/RespLink.java
+++ b/src/main/java/cairnline/transport/RespLink.java
@@ -1,6 +1,6 @@
 package cairnline.transport;
 
-import cairnline.logs.Events;
+import cairnline.logs.EventSink;
 import cairnline.pools.ConnectionBudget;
 import cairnline.routing.Attempt;
 import cairnline.routing.Core;
@@ -16,11 +16,11 @@
     private final Core core;
     private final Limits limits;
     private final EventLoop loop;
-    private final Events log;
+    private final EventSink log;
 
     /** A link without a connection to the engine with this id. */
     public RespLink(String engine, InetSocketAddress address, Core core, Limits limits, EventLoop loop,
-                    ConnectionBudget<Connection> budget, Events log) {
+                    ConnectionBudget<Connection> budget, EventSink log) {
         super(limits.engines().connectionsEach(), budget, loop.clock());
         this.engine = engine;
         this.address = address;
@@ -34,7 +34,7 @@
         return engine;
     }
 
-    Events log() {
+    EventSink log() {
         return log;
     }
 
--- a/src/main/java/cairnline/transport/SocketFront.java
+++ b/src/main/java/cairnline/transport/SocketFront.java
@@ -1,6 +1,6 @@
 package cairnline.transport;
 
-import cairnline.logs.Events;
+import cairnline.logs.EventSink;
 import cairnline.routing.Clock;
 import cairnline.routing.Core;
 import cairnline.routing.Limits;
@@ -14,11 +14,11 @@
     private final Listener listener;
     private final Core core;
     private final Limits limits;
-    private final Events log;
+    private final EventSink log;
     private final AtomicLong openBytes = new AtomicLong();
     private volatile boolean stopping;
 
-    SocketFront(Listener listener, Core core, Limits limits, Events log) {
+    SocketFront(Listener listener, Core core, Limits limits, EventSink log) {
         this.listener = listener;
         this.core = core;
         this.limits = limits;
@@ -85,7 +85,7 @@
         return loop().clock();
     }
 
-    Events log() {
+    EventSink log() {
         return log;
     }
 }
--- a/src/test/java/cairnline/program/ODataWire.java
+++ b/src/test/java/cairnline/program/ODataWire.java
@@ -4,7 +4,7 @@
 import cairnline.protocol.HttpMessage;
 import cairnline.protocol.ODataModel;
 import cairnline.pools.ConnectionBudget;
-import cairnline.logs.Events;
+import cairnline.logs.EventSink;
 import cairnline.routing.Clock;
 import cairnline.routing.Core;
 import cairnline.routing.EngineLink;
@@ -53,8 +53,8 @@
     @Override
     public int start(Core core, Configuration configuration, Clock clock) throws IOException {
         Listener listener = new Listener(configuration.listen(), Math.min(mostClients, configuration.limits().clients().connections()),
-                configuration.limits(), loop.get(configuration, clock), Events.NONE);
-        front = new ODataFront(listener, core, MODEL, configuration.patience(), configuration.limits(), Events.NONE);
+                configuration.limits(), loop.get(configuration, clock), EventSink.NONE);
+        front = new ODataFront(listener, core, MODEL, configuration.patience(), configuration.limits(), EventSink.NONE);
         front.start();
         return listener.port();
     }
--- a/src/test/java/cairnline/program/PlatformWire.java
+++ b/src/test/java/cairnline/program/PlatformWire.java
@@ -3,7 +3,7 @@
 import cairnline.protocol.ClientFrames;
 import cairnline.protocol.Resp;
 import cairnline.pools.ConnectionBudget;
-import cairnline.logs.Events;
+import cairnline.logs.EventSink;
 import cairnline.routing.Clock;
 import cairnline.routing.Core;
 import cairnline.routing.EngineLink;
@@ -47,14 +47,14 @@
     @Override
     public EngineLink link(ListedEngine engine, Core core, Configuration configuration, Clock clock) {
         return new RespLink(engine.id(), Configuration.address("dial", engine.address()), core, configuration.limits(),
-                loop.get(configuration, clock), connections, Events.NONE);
+                loop.get(configuration, clock), connections, EventSink.NONE);
     }
 
     @Override
     public int start(Core core, Configuration configuration, Clock clock) throws IOException {
         Listener listener = new Listener(configuration.listen(), Math.min(mostClients, configuration.limits().clients().connections()),
-                configuration.limits(), loop.get(configuration, clock), Events.NONE);
-        front = new ClientFront(listener, core, configuration.classes(), configuration.limits(), Events.NONE);
+                configuration.limits(), loop.get(configuration, clock), EventSink.NONE);
+        front = new ClientFront(listener, core, configuration.classes(), configuration.limits(), EventSink.NONE);
         front.start();
         return listener.port();
     }
--- a/src/test/java/cairnline/program/ReadersTest.java
+++ b/src/test/java/cairnline/program/ReadersTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 
-import cairnline.logs.Events;
+import cairnline.logs.EventSink;
 import cairnline.pools.ConnectionBudget;
 import cairnline.protocol.Resp;
 import cairnline.routing.Clock;
@@ -52,7 +52,7 @@
             int threads = Thread.activeCount();
             List<EngineLink> links = new ArrayList<>();
             for (int i = 0; i < ENGINES; i++) {
-                EngineLink link = new RespLink("e" + i, address, core, limits, loop, connections, Events.NONE);
+                EngineLink link = new RespLink("e" + i, address, core, limits, loop, connections, EventSink.NONE);
                 links.add(link);
                 link.probe(reports::add);
                 Socket socket = engine.accept();
--- a/src/test/java/cairnline/store/Told.java
+++ b/src/test/java/cairnline/store/Told.java
@@ -1,11 +1,11 @@
 package cairnline.store;
 
-import cairnline.logs.Events;
+import cairnline.logs.EventSink;
 import java.util.ArrayList;
 import java.util.List;
 
 /** Events as a test counts them: the name, and the cause if one is told. */
-final class Told implements Events {
+final class Told implements EventSink {
     private final List<String> all = new ArrayList<>();
 
     @Override
--- a/src/test/java/cairnline/transport/ListenerTest.java
+++ b/src/test/java/cairnline/transport/ListenerTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import cairnline.logs.Events;
+import cairnline.logs.EventSink;
 import cairnline.routing.Clock;
 import cairnline.routing.Limits;
 import java.net.InetAddress;
@@ -77,7 +77,7 @@
         EventLoop loop = new EventLoop("test", limits.routing().stackBytes(), clock);
         loop.start();
         Listener listener = new Listener(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-                stubs.length - 1, limits, loop, Events.NONE);
+                stubs.length - 1, limits, loop, EventSink.NONE);
         List<Stub> next = new ArrayList<>(List.of(stubs));
         listener.start(channel -> next.remove(0));
         List<String> seen = new ArrayList<>();
