--- a/src/main/java/cairnline/program/Server.java
+++ b/src/main/java/cairnline/program/Server.java
@@ -15,7 +15,7 @@
 import cairnline.settings.SettingsException;
 import cairnline.store.Snapshot;
 import cairnline.store.SnapshotFolder;
-import cairnline.store.SnapshotKeeper;
+import cairnline.store.SnapshotWriter;
 import cairnline.transport.ClientFront;
 import cairnline.transport.EventLoop;
 import cairnline.transport.FeedClient;
@@ -37,7 +37,7 @@
     private final WallClock wallClock = new WallClock(clock);
     private final EventLog log;
     private final EventLoop loop;
-    private final SnapshotKeeper keeper;
+    private final SnapshotWriter keeper;
     private final Core core;
     private final EngineList list;
     private final FeedClient feed;
@@ -55,7 +55,7 @@
                 : new SnapshotFolder(settings.snapshots(), settings.store(), log);
         ConnectionBudget<PooledLink.Connection> connections =
                 new ConnectionBudget<>(limits.engines().connections(), limits.engines().idle());
-        keeper = folder == null ? null : new SnapshotKeeper(folder, settings.store(), log, clock::micros);
+        keeper = folder == null ? null : new SnapshotWriter(folder, settings.store(), log, clock::micros);
         core = new Core(configuration.settings(), configuration.seed(), limits, clock,
                 line -> log.warn("module", line),
                 (engine, owner) -> new RespLink(engine.id(), reach(engine.address(), log), owner, limits, loop, connections,
--- a/src/main/java/cairnline/store/SnapshotKeeper.java
+++ b/src/main/java/cairnline/store/SnapshotWriter.java
@@ -13,7 +13,7 @@
  * Writes the list on a thread of its own: whoever hands over a view waits for no disk. A view that comes while another
  * waits takes its place. Whatever fails is tried again, and service goes on.
  */
-public final class SnapshotKeeper implements Keeper {
+public final class SnapshotWriter implements Keeper {
     private static final int STACK = 256 * 1024;
 
     private final SnapshotFolder folder;
@@ -27,7 +27,7 @@
     private boolean busy;
 
     /** A keeper that does not run yet; {@code clock} gives microseconds from the Unix epoch. */
-    public SnapshotKeeper(SnapshotFolder folder, StoreSettings settings, EventSink log, LongSupplier clock) {
+    public SnapshotWriter(SnapshotFolder folder, StoreSettings settings, EventSink log, LongSupplier clock) {
         this.folder = folder;
         this.settings = settings;
         this.log = log;
--- a/src/test/java/cairnline/store/SnapshotFolderTest.java
+++ b/src/test/java/cairnline/store/SnapshotFolderTest.java
@@ -273,7 +273,7 @@
     void aKeeperGoesOnWhileItsDiskFailsAndTellsEachCauseOnce() throws Exception {
         Path blocked = Files.writeString(folder.resolve("plain"), "x");
         StoreSettings quick = new StoreSettings(2, 1_000, 600, 1 << 20, HOUR, 1_000, 4_000);
-        SnapshotKeeper keeper = new SnapshotKeeper(new SnapshotFolder(blocked, quick, told), quick, told,
+        SnapshotWriter keeper = new SnapshotWriter(new SnapshotFolder(blocked, quick, told), quick, told,
                 () -> System.nanoTime() / 1_000);
         keeper.start();
         keeper.keep(listed().view(NOW), true);
@@ -287,7 +287,7 @@
     @Test
     void aLaterViewStandsInForOneThatWaits() throws Exception {
         StoreSettings slow = new StoreSettings(8, 60_000_000, 600, 1 << 20, HOUR, 1_000, 4_000);
-        SnapshotKeeper keeper = new SnapshotKeeper(new SnapshotFolder(folder, slow, told), slow, told,
+        SnapshotWriter keeper = new SnapshotWriter(new SnapshotFolder(folder, slow, told), slow, told,
                 () -> System.nanoTime() / 1_000);
         Membership membership = listed();
         keeper.start();
