--- a/src/main/java/cairnline/store/SnapshotWriter.java
+++ b/src/main/java/cairnline/store/SnapshotWriter.java
@@ -22,7 +22,7 @@
     private final LongSupplier clock;
     private final ReentrantLock lock = new ReentrantLock();
     private final Condition changed = lock.newCondition();
-    private final Cadence cadence;
+    private final WriteSchedule cadence;
     private View pending;
     private boolean busy;
 
@@ -32,7 +32,7 @@
         this.settings = settings;
         this.log = log;
         this.clock = clock;
-        this.cadence = new Cadence(settings);
+        this.cadence = new WriteSchedule(settings);
     }
 
     /** Starts its thread. */
--- a/src/main/java/cairnline/store/Cadence.java
+++ b/src/main/java/cairnline/store/WriteSchedule.java
@@ -9,7 +9,7 @@
  * and after a failure not before a pause that doubles. Also which failures are worth an event: each cause once, until a
  * write succeeds. It does no I/O and reads no clock; times are microseconds.
  */
-final class Cadence {
+final class WriteSchedule {
     static final long MINUTE = 60_000_000;
 
     private final StoreSettings settings;
@@ -23,7 +23,7 @@
     private long notBefore = Long.MIN_VALUE;
     private long pause;
 
-    Cadence(StoreSettings settings) {
+    WriteSchedule(StoreSettings settings) {
         this.settings = settings;
     }
 
--- a/src/test/java/cairnline/store/CadenceTest.java
+++ b/src/test/java/cairnline/store/CadenceTest.java
@@ -12,7 +12,7 @@
     private static final long SECOND = 1_000_000;
     private static final long NOW = 1_000 * SECOND;
 
-    private final Cadence cadence = new Cadence(StoreSettings.usual());
+    private final WriteSchedule cadence = new WriteSchedule(StoreSettings.usual());
 
     private void write(long now) {
         cadence.begin(now);
@@ -59,7 +59,7 @@
             write(NOW + i);
         }
         cadence.want(true);
-        assertEquals(NOW + Cadence.MINUTE, cadence.due());
+        assertEquals(NOW + WriteSchedule.MINUTE, cadence.due());
     }
 
     @Test
