--- a/src/test/java/cairnline/store/CadenceTest.java
+++ b/src/test/java/cairnline/store/WriteScheduleTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class CadenceTest {
+class WriteScheduleTest {
     private static final long SECOND = 1_000_000;
     private static final long NOW = 1_000 * SECOND;
 
