--- a/src/main/java/cairnline/store/FolderDisk.java
+++ b/src/main/java/cairnline/store/FolderDisk.java
@@ -14,7 +14,7 @@
 import java.util.stream.Stream;
 
 /** A folder of the file system. */
-final class FolderDisk implements Disk {
+final class FolderDisk implements SnapshotStorage {
     private static final String LOCK = "lock";
 
     private final Path folder;
--- a/src/main/java/cairnline/store/SnapshotFolder.java
+++ b/src/main/java/cairnline/store/SnapshotFolder.java
@@ -18,11 +18,11 @@
     private static final Pattern NAME = Pattern.compile("list-(\\d{16})\\.snap");
     private static final String UNFINISHED = "list.tmp";
 
-    private final Disk disk;
+    private final SnapshotStorage disk;
     private final StoreSettings settings;
     private final EventSink log;
 
-    SnapshotFolder(Disk disk, StoreSettings settings, EventSink log) {
+    SnapshotFolder(SnapshotStorage disk, StoreSettings settings, EventSink log) {
         this.disk = disk;
         this.settings = settings;
         this.log = log;
--- a/src/main/java/cairnline/store/Disk.java
+++ b/src/main/java/cairnline/store/SnapshotStorage.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /** The few things that snapshots ask of a folder; a test's disk fails where it likes. Names are of files in it. */
-interface Disk {
+interface SnapshotStorage {
     /** All that it holds; nothing if there is no such folder. */
     List<String> names() throws IOException;
 
--- a/src/test/java/cairnline/store/SnapshotFolderTest.java
+++ b/src/test/java/cairnline/store/SnapshotFolderTest.java
@@ -33,11 +33,11 @@
     private final StoreSettings settings = StoreSettings.usual();
 
     /** A disk that fails at its n-th step, as a machine that dies there or a full disk does. */
-    private static final class FailingDisk implements Disk {
-        private final Disk disk;
+    private static final class FailingDisk implements SnapshotStorage {
+        private final SnapshotStorage disk;
         private int left;
 
-        FailingDisk(Disk disk, int left) {
+        FailingDisk(SnapshotStorage disk, int left) {
             this.disk = disk;
             this.left = left;
         }
