--- a/src/main/java/cairnline/store/FolderDisk.java
+++ b/src/main/java/cairnline/store/FileSystemStorage.java
@@ -14,14 +14,14 @@
 import java.util.stream.Stream;
 
 /** A folder of the file system. */
-final class FolderDisk implements SnapshotStorage {
+final class FileSystemStorage implements SnapshotStorage {
     private static final String LOCK = "lock";
 
     private final Path folder;
     private FileChannel lockFile;
     private FileLock lock;
 
-    FolderDisk(Path folder) {
+    FileSystemStorage(Path folder) {
         this.folder = folder;
     }
 
--- a/src/main/java/cairnline/store/SnapshotFolder.java
+++ b/src/main/java/cairnline/store/SnapshotFolder.java
@@ -30,7 +30,7 @@
 
     /** The snapshots in a folder, which need not be there yet. */
     public SnapshotFolder(Path folder, StoreSettings settings, EventSink log) {
-        this(new FolderDisk(folder), settings, log);
+        this(new FileSystemStorage(folder), settings, log);
     }
 
     /**
--- a/src/test/java/cairnline/store/SnapshotFolderTest.java
+++ b/src/test/java/cairnline/store/SnapshotFolderTest.java
@@ -179,7 +179,7 @@
         for (int step = 0; step < 20; step++) {
             int before = engines(NOW);
             try {
-                new SnapshotFolder(new FailingDisk(new FolderDisk(folder), step), settings, told).write(bytes(before + 1, NOW));
+                new SnapshotFolder(new FailingDisk(new FileSystemStorage(folder), step), settings, told).write(bytes(before + 1, NOW));
             } catch (IOException e) {
                 failed++;
             }
