--- a/src/test/java/cairnline/store/Told.java
+++ b/src/test/java/cairnline/store/RecordingEventSink.java
@@ -5,7 +5,7 @@
 import java.util.List;
 
 /** Events as a test counts them: the name, and the cause if one is told. */
-final class Told implements EventSink {
+final class RecordingEventSink implements EventSink {
     private final List<String> all = new ArrayList<>();
 
     @Override
