--- a/src/main/java/cairnline/settings/SettingsException.java
+++ b/src/main/java/cairnline/settings/SettingsException.java
@@ -7,15 +7,15 @@
 public final class SettingsException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    private final transient List<Fault> faults;
+    private final transient List<Problem> faults;
 
-    SettingsException(List<Fault> faults) {
-        super(faults.stream().map(Fault::toString).collect(Collectors.joining("\n")));
+    SettingsException(List<Problem> faults) {
+        super(faults.stream().map(Problem::toString).collect(Collectors.joining("\n")));
         this.faults = List.copyOf(faults);
     }
 
     /** All faults. */
-    public List<Fault> faults() {
+    public List<Problem> faults() {
         return faults;
     }
 }
--- a/src/main/java/cairnline/settings/Source.java
+++ b/src/main/java/cairnline/settings/Source.java
@@ -30,7 +30,7 @@
             '\f', 'n', '\n', 'r', '\r', 't', '\t');
 
     private final String file;
-    private final List<Fault> faults = new ArrayList<>();
+    private final List<Problem> faults = new ArrayList<>();
 
     private Source(String file) {
         this.file = file;
@@ -64,7 +64,7 @@
                 depth += c == '{' || c == '[' || c == '(' ? 1 : c == '}' || c == ']' || c == ')' ? -1 : 0;
             }
             if (depth > DEEPEST) {
-                faults.add(new Fault(new Place(file, line, 1), "", "nested deeper than " + DEEPEST, ""));
+                faults.add(new Problem(new Place(file, line, 1), "", "nested deeper than " + DEEPEST, ""));
                 return;
             }
         }
@@ -77,7 +77,7 @@
             @Override
             public void syntaxError(Recognizer<?, ?> recognizer, Object symbol, int line, int column, String message,
                                     RecognitionException e) {
-                faults.add(new Fault(new Place(file, line, column + 1), "", message, ""));
+                faults.add(new Problem(new Place(file, line, column + 1), "", message, ""));
             }
         };
         lexer.removeErrorListeners();
@@ -109,7 +109,7 @@
                 Field field = new Field(place(each), label(each.label()), each.OPTIONAL() != null, value(each.value()));
                 Place before = seen.putIfAbsent(field.name(), field.place());
                 if (before != null && !(field.value() instanceof Struct)) {
-                    faults.add(new Fault(field.place(), field.name(), "stands twice; first at " + before, ""));
+                    faults.add(new Problem(field.place(), field.name(), "stands twice; first at " + before, ""));
                 }
                 fields.add(field);
             } else if (each.pattern() != null) {
@@ -189,7 +189,7 @@
                 return new Expr.Scalar(place(name), null);
             }
             default -> {
-                faults.add(new Fault(place(name), "", "the word " + name.getText(), "true, false, null, "
+                faults.add(new Problem(place(name), "", "the word " + name.getText(), "true, false, null, "
                         + String.join(", ", TYPES.keySet().stream().sorted().toList()) + ", or a text in quotes"));
                 return new Expr.Scalar(place(name), null);
             }
@@ -205,7 +205,7 @@
         }
         Quantity quantity = Quantity.of(token.getText());
         if (quantity == null) {
-            faults.add(new Fault(place(token), "", token.getText(), "a number with one of us, ms, s, m, h, d, B, kB, MB,"
+            faults.add(new Problem(place(token), "", token.getText(), "a number with one of us, ms, s, m, h, d, B, kB, MB,"
                     + " GB, KiB, MiB, GiB behind it, in all a whole number of us or B"));
         }
         return new Expr.Scalar(place(token), quantity);
@@ -221,7 +221,7 @@
         } catch (NumberFormatException e) {
             // Told below: its exponent has too many digits.
         }
-        faults.add(new Fault(place(token), "", "the number " + token.getText(), "40 digits, and an exponent to 400"));
+        faults.add(new Problem(place(token), "", "the number " + token.getText(), "40 digits, and an exponent to 400"));
         return BigDecimal.ZERO;
     }
 
@@ -241,7 +241,7 @@
             } else if (ESCAPES.containsKey(escape)) {
                 text.append(ESCAPES.get(escape));
             } else {
-                faults.add(new Fault(place(token), "", "\\" + escape + " in a text",
+                faults.add(new Problem(place(token), "", "\\" + escape + " in a text",
                         "\\\" \\\\ \\/ \\b \\f \\n \\r \\t \\uXXXX"));
             }
         }
--- a/src/main/java/cairnline/settings/Unifier.java
+++ b/src/main/java/cairnline/settings/Unifier.java
@@ -35,7 +35,7 @@
     private static final int NEAR = 2;
 
     private final Map<String, Expr> definitions;
-    private final List<Fault> faults = new ArrayList<>();
+    private final List<Problem> faults = new ArrayList<>();
     /** Records that a definition names, also through others, and those that stand in them. */
     private final Set<Struct> closed = Collections.newSetFromMap(new IdentityHashMap<>());
 
@@ -105,7 +105,7 @@
             } else if (part instanceof Reference reference) {
                 Expr definition = definitions.get(reference.name());
                 if (definition == null || ++resolved > definitions.size()) {
-                    faults.add(new Fault(reference.place(), path, definition == null ? reference.name()
+                    faults.add(new Problem(reference.place(), path, definition == null ? reference.name()
                             + " is not defined" : reference.name() + " is defined by itself", ""));
                     return false;
                 }
@@ -132,7 +132,7 @@
     private void tell(String path, List<Expr> parts) {
         Expr found = parts.get(0);
         String allowed = parts.stream().skip(1).map(Expr::toString).distinct().collect(Collectors.joining(" & "));
-        faults.add(new Fault(found.place(), path, "found " + found, allowed));
+        faults.add(new Problem(found.place(), path, "found " + found, allowed));
     }
 
     // ---- Choices ----
@@ -142,7 +142,7 @@
         List<Object> fitting = new ArrayList<>();
         Object marked = null;
         boolean hasMarked = false;
-        List<Fault> nearest = null;
+        List<Problem> nearest = null;
         for (Option option : choice.options()) {
             Unifier trial = new Unifier(this);
             List<Expr> parts = new ArrayList<>(others);
@@ -165,7 +165,7 @@
             return fitting.get(0);
         }
         if (others.isEmpty()) {
-            faults.add(new Fault(choice.place(), path, "is missing", choice.toString()));
+            faults.add(new Problem(choice.place(), path, "is missing", choice.toString()));
         } else if (fitting.isEmpty() && nearest != null && choice.options().size() == 1) {
             faults.addAll(nearest);
         } else {
@@ -204,7 +204,7 @@
             }
             Struct stranger = structs.stream().filter(s -> !knows(s, name)).findFirst().orElse(null);
             if (stranger != null) {
-                faults.add(new Fault(place, at, "is no key here", near(name, stranger)));
+                faults.add(new Problem(place, at, "is no key here", near(name, stranger)));
             } else if (given) {
                 record.put(name, meet(at, values));
             }
@@ -260,7 +260,7 @@
         List<Object> items = new ArrayList<>();
         for (Items list : lists) {
             if (list.rest() == null && list.items().size() < count) {
-                faults.add(new Fault(lists.get(0).place(), path, count + " items", String.valueOf(list.items().size())));
+                faults.add(new Problem(lists.get(0).place(), path, count + " items", String.valueOf(list.items().size())));
                 return null;
             }
         }
@@ -280,7 +280,7 @@
         List<Scalar> given = of(parts, Scalar.class);
         if (given.isEmpty()) {
             String allowed = parts.stream().map(Expr::toString).distinct().collect(Collectors.joining(" & "));
-            faults.add(new Fault(parts.get(0).place(), path, "is missing", allowed));
+            faults.add(new Problem(parts.get(0).place(), path, "is missing", allowed));
             return null;
         }
         Object value = typed(given.get(0).value(), parts);
@@ -354,7 +354,7 @@
         try {
             return java.util.regex.Pattern.compile(expression).matcher(text).find();
         } catch (PatternSyntaxException e) {
-            faults.add(new Fault(bound.place(), "", "no regular expression: " + e.getDescription(), ""));
+            faults.add(new Problem(bound.place(), "", "no regular expression: " + e.getDescription(), ""));
             return false;
         }
     }
--- a/src/test/java/cairnline/settings/SettingsFileTest.java
+++ b/src/test/java/cairnline/settings/SettingsFileTest.java
@@ -21,7 +21,7 @@
     }
 
     private static List<String> faults(String text) {
-        return assertThrows(SettingsException.class, () -> read(text)).faults().stream().map(Fault::toString).toList();
+        return assertThrows(SettingsException.class, () -> read(text)).faults().stream().map(Problem::toString).toList();
     }
 
     /** Unifies a text with a schema of the test's own. */
@@ -30,7 +30,7 @@
     }
 
     private static List<String> faults(String schema, String text) {
-        return assertThrows(SettingsException.class, () -> unify(schema, text)).faults().stream().map(Fault::toString)
+        return assertThrows(SettingsException.class, () -> unify(schema, text)).faults().stream().map(Problem::toString)
                 .toList();
     }
 
