--- a/src/main/java/cairnline/settings/Expr.java
+++ b/src/main/java/cairnline/settings/Expr.java
@@ -6,10 +6,10 @@
 
 /** An expression as written, in a file or in the schema. {@link #toString} words it as it would be written. */
 sealed interface Expr {
-    Place place();
+    SourcePosition place();
 
     /** A text, a number ({@link BigDecimal}), a {@link Quantity}, a {@link Boolean}, or null. */
-    record Scalar(Place place, Object value) implements Expr {
+    record Scalar(SourcePosition place, Object value) implements Expr {
         @Override
         public String toString() {
             return value instanceof String text ? quoted(text) : value instanceof Quantity q ? q.text()
@@ -18,7 +18,7 @@
     }
 
     /** One of the types that the language knows. */
-    record Type(Place place, Kind kind) implements Expr {
+    record Type(SourcePosition place, Kind kind) implements Expr {
         /** The types. */
         enum Kind { STRING, INT, NUMBER, BOOL, NULL, DURATION, SIZE, ANY }
 
@@ -29,7 +29,7 @@
     }
 
     /** A bound, or a regular expression that a text must, or must not, hold. */
-    record Bound(Place place, String operator, Scalar limit) implements Expr {
+    record Bound(SourcePosition place, String operator, Scalar limit) implements Expr {
         @Override
         public String toString() {
             return operator + limit;
@@ -37,7 +37,7 @@
     }
 
     /** A definition's name. */
-    record Reference(Place place, String name) implements Expr {
+    record Reference(SourcePosition place, String name) implements Expr {
         @Override
         public String toString() {
             return name;
@@ -45,7 +45,7 @@
     }
 
     /** All of these at once. */
-    record Both(Place place, List<Expr> parts) implements Expr {
+    record Both(SourcePosition place, List<Expr> parts) implements Expr {
         @Override
         public String toString() {
             return parts.stream().map(Expr::toString).collect(Collectors.joining(" & "));
@@ -53,7 +53,7 @@
     }
 
     /** One of these; a default is what holds where nothing else tells. */
-    record Choice(Place place, List<Option> options) implements Expr {
+    record Choice(SourcePosition place, List<Option> options) implements Expr {
         @Override
         public String toString() {
             return options.stream().map(Option::toString).collect(Collectors.joining(" | "));
@@ -69,7 +69,7 @@
     }
 
     /** A list: items in their order, then any number of {@code rest}, if that is not null. */
-    record Items(Place place, List<Expr> items, Expr rest) implements Expr {
+    record Items(SourcePosition place, List<Expr> items, Expr rest) implements Expr {
         @Override
         public String toString() {
             return "[" + items.stream().map(Expr::toString).collect(Collectors.joining(", "))
@@ -78,7 +78,7 @@
     }
 
     /** A record; {@code open} if it ends with dots. */
-    record Struct(Place place, List<Field> fields, List<Pattern> patterns, boolean open) implements Expr {
+    record Struct(SourcePosition place, List<Field> fields, List<Pattern> patterns, boolean open) implements Expr {
         @Override
         public String toString() {
             return "{" + fields.stream().map(f -> f.name).collect(Collectors.joining(", ")) + "}";
@@ -86,7 +86,7 @@
     }
 
     /** A field of a record. */
-    record Field(Place place, String name, boolean optional, Expr value) { }
+    record Field(SourcePosition place, String name, boolean optional, Expr value) { }
 
     /** What all fields must be whose names are so. */
     record Pattern(Expr name, Expr value) { }
--- a/src/main/java/cairnline/settings/Problem.java
+++ b/src/main/java/cairnline/settings/Problem.java
@@ -1,7 +1,7 @@
 package cairnline.settings;
 
 /** One thing that is wrong: where, at which key, what was found and what is allowed (empty where that says nothing). */
-public record Problem(Place place, String key, String found, String allowed) {
+public record Problem(SourcePosition place, String key, String found, String allowed) {
     @Override
     public String toString() {
         return place + ": " + (key.isEmpty() ? "" : key + ": ") + found
--- a/src/main/java/cairnline/settings/SettingsFile.java
+++ b/src/main/java/cairnline/settings/SettingsFile.java
@@ -37,7 +37,7 @@
     }
 
     private static SettingsException unreadable(Path file, String why) {
-        return new SettingsException(List.of(new Problem(new Place(file.toString(), 1, 1), "", why, "")));
+        return new SettingsException(List.of(new Problem(new SourcePosition(file.toString(), 1, 1), "", why, "")));
     }
 
     /** Reads a text; the name is for messages. */
@@ -46,7 +46,7 @@
         try {
             decoded = StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(text)).toString();
         } catch (CharacterCodingException e) {
-            throw new SettingsException(List.of(new Problem(new Place(name, 1, 1), "", "it is not UTF-8", "")));
+            throw new SettingsException(List.of(new Problem(new SourcePosition(name, 1, 1), "", "it is not UTF-8", "")));
         }
         return unify(Source.parse(name, decoded), schema());
     }
--- a/src/main/java/cairnline/settings/Source.java
+++ b/src/main/java/cairnline/settings/Source.java
@@ -64,7 +64,7 @@
                 depth += c == '{' || c == '[' || c == '(' ? 1 : c == '}' || c == ']' || c == ')' ? -1 : 0;
             }
             if (depth > DEEPEST) {
-                faults.add(new Problem(new Place(file, line, 1), "", "nested deeper than " + DEEPEST, ""));
+                faults.add(new Problem(new SourcePosition(file, line, 1), "", "nested deeper than " + DEEPEST, ""));
                 return;
             }
         }
@@ -77,7 +77,7 @@
             @Override
             public void syntaxError(Recognizer<?, ?> recognizer, Object symbol, int line, int column, String message,
                                     RecognitionException e) {
-                faults.add(new Problem(new Place(file, line, column + 1), "", message, ""));
+                faults.add(new Problem(new SourcePosition(file, line, column + 1), "", message, ""));
             }
         };
         lexer.removeErrorListeners();
@@ -91,23 +91,23 @@
         return root.struct() != null ? struct(root.struct().fields(), root) : struct(root.fields(), root);
     }
 
-    private Place place(ParserRuleContext at) {
+    private SourcePosition place(ParserRuleContext at) {
         return place(at.getStart());
     }
 
-    private Place place(Token at) {
-        return new Place(file, at.getLine(), at.getCharPositionInLine() + 1);
+    private SourcePosition place(Token at) {
+        return new SourcePosition(file, at.getLine(), at.getCharPositionInLine() + 1);
     }
 
     private Struct struct(CueParser.FieldsContext from, ParserRuleContext at) {
         List<Field> fields = new ArrayList<>();
         List<Pattern> patterns = new ArrayList<>();
-        Map<String, Place> seen = new HashMap<>();
+        Map<String, SourcePosition> seen = new HashMap<>();
         boolean open = false;
         for (CueParser.FieldContext each : from.field()) {
             if (each.label() != null) {
                 Field field = new Field(place(each), label(each.label()), each.OPTIONAL() != null, value(each.value()));
-                Place before = seen.putIfAbsent(field.name(), field.place());
+                SourcePosition before = seen.putIfAbsent(field.name(), field.place());
                 if (before != null && !(field.value() instanceof Struct)) {
                     faults.add(new Problem(field.place(), field.name(), "stands twice; first at " + before, ""));
                 }
--- a/src/main/java/cairnline/settings/Place.java
+++ b/src/main/java/cairnline/settings/SourcePosition.java
@@ -1,7 +1,7 @@
 package cairnline.settings;
 
 /** Where something stands: lines and columns count from 1. */
-public record Place(String file, int line, int column) {
+public record SourcePosition(String file, int line, int column) {
     @Override
     public String toString() {
         return file + ":" + line + ":" + column;
--- a/src/main/java/cairnline/settings/Unifier.java
+++ b/src/main/java/cairnline/settings/Unifier.java
@@ -191,7 +191,7 @@
             String at = path.isEmpty() ? name : path + "." + name;
             List<Expr> values = new ArrayList<>();
             boolean given = false;
-            Place place = null;
+            SourcePosition place = null;
             for (Struct s : structs) {
                 for (Field f : s.fields()) {
                     if (f.name().equals(name)) {
