--- a/src/main/java/cairnline/settings/Source.java
+++ b/src/main/java/cairnline/settings/Parser.java
@@ -21,7 +21,7 @@
 import org.antlr.v4.runtime.Token;
 
 /** A text of the settings language as expressions. */
-final class Source {
+final class Parser {
     /** Deeper nesting is a fault: the parser and all after it go as deep as the text. */
     private static final int DEEPEST = 64;
     private static final Map<String, Kind> TYPES = Map.of("string", Kind.STRING, "int", Kind.INT, "number", Kind.NUMBER,
@@ -32,13 +32,13 @@
     private final String file;
     private final List<Problem> faults = new ArrayList<>();
 
-    private Source(String file) {
+    private Parser(String file) {
         this.file = file;
     }
 
     /** Parses a whole text; throws with all faults of its form. */
     static Struct parse(String file, String text) {
-        Source source = new Source(file);
+        Parser source = new Parser(file);
         source.checkDepth(text);
         Struct root = source.faults.isEmpty() ? source.document(text) : null;
         if (!source.faults.isEmpty()) {
--- a/src/main/java/cairnline/settings/SettingsFile.java
+++ b/src/main/java/cairnline/settings/SettingsFile.java
@@ -48,7 +48,7 @@
         } catch (CharacterCodingException e) {
             throw new SettingsException(List.of(new Problem(new SourcePosition(name, 1, 1), "", "it is not UTF-8", "")));
         }
-        return unify(Source.parse(name, decoded), schema());
+        return unify(Parser.parse(name, decoded), schema());
     }
 
     /** What holds where no file is given. */
@@ -77,7 +77,7 @@
 
     private static Struct schema() {
         try (InputStream in = SettingsFile.class.getResourceAsStream(SCHEMA)) {
-            return Source.parse(SCHEMA, new String(in.readAllBytes(), StandardCharsets.UTF_8));
+            return Parser.parse(SCHEMA, new String(in.readAllBytes(), StandardCharsets.UTF_8));
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
--- a/src/test/java/cairnline/settings/SettingsFileTest.java
+++ b/src/test/java/cairnline/settings/SettingsFileTest.java
@@ -26,7 +26,7 @@
 
     /** Unifies a text with a schema of the test's own. */
     private static Object unify(String schema, String text) {
-        return SettingsFile.unify(Source.parse("f.cue", text), Source.parse("s.cue", schema)).asJson();
+        return SettingsFile.unify(Parser.parse("f.cue", text), Parser.parse("s.cue", schema)).asJson();
     }
 
     private static List<String> faults(String schema, String text) {
