--- a/src/main/java/cairnline/program/Main.java
+++ b/src/main/java/cairnline/program/Main.java
@@ -60,7 +60,7 @@
         if (e instanceof ConfigurationException) {
             return leave(WRONG_USE, e.getMessage());
         } else if (e instanceof SettingsException wrong) {
-            wrong.faults().forEach(fault -> leave(WRONG_USE, fault.toString()));
+            wrong.problems().forEach(fault -> leave(WRONG_USE, fault.toString()));
             return WRONG_USE;
         } else if (e instanceof WireException || e instanceof IOException) {
             // An address that can't be had, say.
--- a/src/test/java/cairnline/settings/SettingsFileTest.java
+++ b/src/test/java/cairnline/settings/SettingsFileTest.java
@@ -21,7 +21,7 @@
     }
 
     private static List<String> faults(String text) {
-        return assertThrows(SettingsException.class, () -> read(text)).faults().stream().map(Problem::toString).toList();
+        return assertThrows(SettingsException.class, () -> read(text)).problems().stream().map(Problem::toString).toList();
     }
 
     /** Unifies a text with a schema of the test's own. */
@@ -30,7 +30,7 @@
     }
 
     private static List<String> faults(String schema, String text) {
-        return assertThrows(SettingsException.class, () -> unify(schema, text)).faults().stream().map(Problem::toString)
+        return assertThrows(SettingsException.class, () -> unify(schema, text)).problems().stream().map(Problem::toString)
                 .toList();
     }
 
@@ -82,7 +82,7 @@
         assertTrue(faults("a: " + "[".repeat(100) + "]".repeat(100)).get(0).contains("nested deeper"));
         assertTrue(faults("log: queue: 1e999999999").get(0).contains("the number 1e999999999"));
         assertEquals(1, assertThrows(SettingsException.class,
-                () -> SettingsFile.of("f", new byte[] {(byte) 0xC3})).faults().size());
+                () -> SettingsFile.of("f", new byte[] {(byte) 0xC3})).problems().size());
     }
 
     @Test
@@ -153,7 +153,7 @@
         try {
             read(text);
         } catch (SettingsException e) {
-            assertTrue(!e.faults().isEmpty());
+            assertTrue(!e.problems().isEmpty());
         }
     }
 }
