--- a/src/test/java/cairnline/settings/SettingsFileTest.java
+++ b/src/test/java/cairnline/settings/SettingsFileTest.java
@@ -17,7 +17,7 @@
 
 class SettingsFileTest {
     private static Resolved read(String text) {
-        return SettingsFile.of("f.cue", text.getBytes(StandardCharsets.UTF_8));
+        return SettingsFile.parse("f.cue", text.getBytes(StandardCharsets.UTF_8));
     }
 
     private static List<String> faults(String text) {
@@ -82,7 +82,7 @@
         assertTrue(faults("a: " + "[".repeat(100) + "]".repeat(100)).get(0).contains("nested deeper"));
         assertTrue(faults("log: queue: 1e999999999").get(0).contains("the number 1e999999999"));
         assertEquals(1, assertThrows(SettingsException.class,
-                () -> SettingsFile.of("f", new byte[] {(byte) 0xC3})).problems().size());
+                () -> SettingsFile.parse("f", new byte[] {(byte) 0xC3})).problems().size());
     }
 
     @Test
