--- a/src/main/java/cairnline/program/ServeSettings.java
+++ b/src/main/java/cairnline/program/ServeSettings.java
@@ -35,7 +35,7 @@
         return new ServeSettings(file, odataAsked, odata,
                 in.has("discovery.snapshot.dir") ? Path.of(in.text("discovery.snapshot.dir")) : null, store(in),
                 trust(in, warmWithin), EventLog.Format.valueOf(in.text("log.format").toUpperCase(Locale.ROOT)),
-                in.whole("log.queue"), in.text("log.level").equals("requests"));
+                in.integer("log.queue"), in.text("log.level").equals("requests"));
     }
 
     private static final int LOG_QUEUE = 1_024;
@@ -43,8 +43,8 @@
     private static StoreSettings store(Resolved in) {
         String at = "discovery.snapshot.";
         ordered(in, at + "pauseLeast", at + "pauseMost");
-        return new StoreSettings(in.whole(at + "generations"), in.amount(at + "every"),
-                in.whole(at + "writesPerMinute"), (int) in.amount(at + "maxBytes"), in.amount(at + "clocksDiffer"),
+        return new StoreSettings(in.integer(at + "generations"), in.amount(at + "every"),
+                in.integer(at + "writesPerMinute"), (int) in.amount(at + "maxBytes"), in.amount(at + "clocksDiffer"),
                 in.amount(at + "pauseLeast"), in.amount(at + "pauseMost"));
     }
 
@@ -53,7 +53,7 @@
         ordered(in, at + "probePause", at + "probePauseMost");
         return new TrustSettings(in.amount(at + "halfLife"), in.number(at + "fresh"), warmWithin,
                 in.amount(at + "probeWithin"), in.amount(at + "probePause"), in.amount(at + "probePauseMost"),
-                in.whole(at + "probesAtOnce"), in.whole(at + "enough"), in.amount(at + "advice"));
+                in.integer(at + "probesAtOnce"), in.integer(at + "enough"), in.amount(at + "advice"));
     }
 
     /** No schema says that one key may not be more than another. */
