--- a/src/main/java/cairnline/program/ServeSettings.java
+++ b/src/main/java/cairnline/program/ServeSettings.java
@@ -43,22 +43,22 @@
     private static StoreSettings store(Resolved in) {
         String at = "discovery.snapshot.";
         ordered(in, at + "pauseLeast", at + "pauseMost");
-        return new StoreSettings(in.integer(at + "generations"), in.amount(at + "every"),
-                in.integer(at + "writesPerMinute"), (int) in.amount(at + "maxBytes"), in.amount(at + "clocksDiffer"),
-                in.amount(at + "pauseLeast"), in.amount(at + "pauseMost"));
+        return new StoreSettings(in.integer(at + "generations"), in.microsOrBytes(at + "every"),
+                in.integer(at + "writesPerMinute"), (int) in.microsOrBytes(at + "maxBytes"), in.microsOrBytes(at + "clocksDiffer"),
+                in.microsOrBytes(at + "pauseLeast"), in.microsOrBytes(at + "pauseMost"));
     }
 
     private static TrustSettings trust(Resolved in, long warmWithin) {
         String at = "discovery.trust.";
         ordered(in, at + "probePause", at + "probePauseMost");
-        return new TrustSettings(in.amount(at + "halfLife"), in.number(at + "fresh"), warmWithin,
-                in.amount(at + "probeWithin"), in.amount(at + "probePause"), in.amount(at + "probePauseMost"),
-                in.integer(at + "probesAtOnce"), in.integer(at + "enough"), in.amount(at + "advice"));
+        return new TrustSettings(in.microsOrBytes(at + "halfLife"), in.number(at + "fresh"), warmWithin,
+                in.microsOrBytes(at + "probeWithin"), in.microsOrBytes(at + "probePause"), in.microsOrBytes(at + "probePauseMost"),
+                in.integer(at + "probesAtOnce"), in.integer(at + "enough"), in.microsOrBytes(at + "advice"));
     }
 
     /** No schema says that one key may not be more than another. */
     private static void ordered(Resolved in, String least, String most) {
-        if (in.amount(least) > in.amount(most)) {
+        if (in.microsOrBytes(least) > in.microsOrBytes(most)) {
             throw new ConfigurationException(least, "is more than " + most);
         }
     }
