--- a/src/main/java/cairnline/program/SettingsCommand.java
+++ b/src/main/java/cairnline/program/SettingsCommand.java
@@ -20,7 +20,7 @@
     @Command(name = "show", mixinStandardHelpOptions = true,
             description = "Prints a settings file with defaults filled in.")
     int show(@Parameters(paramLabel = "FILE") Path file) {
-        System.out.print(SettingsFile.read(file).show());
+        System.out.print(SettingsFile.read(file).toCue());
         return 0;
     }
 }
