--- a/src/main/java/cairnline/program/ListCommand.java
+++ b/src/main/java/cairnline/program/ListCommand.java
@@ -45,7 +45,7 @@
             return SnapshotCodec.decode(Files.readAllBytes(file));
         } catch (SnapshotException e) {
             throw new ConfigurationException(file.toString(),
-                    e.why().name().toLowerCase(Locale.ROOT).replace('_', ' ') + ": " + e.getMessage());
+                    e.reason().name().toLowerCase(Locale.ROOT).replace('_', ' ') + ": " + e.getMessage());
         }
     }
 
--- a/src/main/java/cairnline/store/SnapshotFolder.java
+++ b/src/main/java/cairnline/store/SnapshotFolder.java
@@ -51,7 +51,7 @@
                 return read(name, now);
             } catch (SnapshotException e) {
                 log.warn("snapshot.skipped", "a kept list is skipped: " + e.getMessage(), "file", name, "cause",
-                        e.why());
+                        e.reason());
             }
         }
         return null;
--- a/src/test/java/cairnline/store/SnapshotCodecTest.java
+++ b/src/test/java/cairnline/store/SnapshotCodecTest.java
@@ -35,7 +35,7 @@
     }
 
     private static Cause cause(byte[] bytes) {
-        return assertThrows(SnapshotException.class, () -> SnapshotCodec.decode(bytes)).why();
+        return assertThrows(SnapshotException.class, () -> SnapshotCodec.decode(bytes)).reason();
     }
 
     @Provide
