--- a/src/main/java/cairnline/program/ServeSettings.java
+++ b/src/main/java/cairnline/program/ServeSettings.java
@@ -27,7 +27,7 @@
         Resolved in = file == null ? null : SettingsFile.read(file);
         long warmWithin = configuration.settings().rules().warmWithin() / NANOS_PER_MICRO;
         if (in == null) {
-            return new ServeSettings(null, false, null, null, StoreSettings.usual(), TrustSettings.usual(warmWithin),
+            return new ServeSettings(null, false, null, null, StoreSettings.defaults(), TrustSettings.usual(warmWithin),
                     EventLog.Format.TEXT, LOG_QUEUE, false);
         }
         ODataConfiguration odata = odataAsked || in.has("sets")
--- a/src/test/java/cairnline/store/SnapshotFolderTest.java
+++ b/src/test/java/cairnline/store/SnapshotFolderTest.java
@@ -30,7 +30,7 @@
     Path folder;
 
     private final RecordingEventSink told = new RecordingEventSink();
-    private final StoreSettings settings = StoreSettings.usual();
+    private final StoreSettings settings = StoreSettings.defaults();
 
     /** A disk that fails at its n-th step, as a machine that dies there or a full disk does. */
     private static final class FailingDisk implements SnapshotStorage {
@@ -254,7 +254,7 @@
         }
 
         public static void main(String[] args) throws Exception {
-            SnapshotFolder folder = new SnapshotFolder(Path.of(args[0]), StoreSettings.usual(), new RecordingEventSink());
+            SnapshotFolder folder = new SnapshotFolder(Path.of(args[0]), StoreSettings.defaults(), new RecordingEventSink());
             for (int i = Integer.parseInt(args[1]);; i++) {
                 folder.write(bytes(200 + i % 50, NOW - HOUR + i));
                 System.out.write('w');
--- a/src/test/java/cairnline/store/WriteScheduleTest.java
+++ b/src/test/java/cairnline/store/WriteScheduleTest.java
@@ -12,7 +12,7 @@
     private static final long SECOND = 1_000_000;
     private static final long NOW = 1_000 * SECOND;
 
-    private final WriteSchedule cadence = new WriteSchedule(StoreSettings.usual());
+    private final WriteSchedule cadence = new WriteSchedule(StoreSettings.defaults());
 
     private void write(long now) {
         cadence.begin(now);
@@ -33,12 +33,12 @@
         cadence.want(false);
         write(NOW);
         cadence.want(false);
-        assertEquals(NOW + StoreSettings.usual().every(), cadence.due());
+        assertEquals(NOW + StoreSettings.defaults().every(), cadence.due());
         cadence.want(true);
         assertTrue(cadence.due() <= NOW);
         write(NOW + 1);
         cadence.want(false);
-        assertEquals(NOW + 1 + StoreSettings.usual().every(), cadence.due(), "what was urgent is done");
+        assertEquals(NOW + 1 + StoreSettings.defaults().every(), cadence.due(), "what was urgent is done");
     }
 
     @Test
@@ -52,7 +52,7 @@
 
     @Test
     void writesAMinuteAreBoundUrgentOrNot() {
-        int most = StoreSettings.usual().writesPerMinute();
+        int most = StoreSettings.defaults().writesPerMinute();
         for (int i = 0; i < most; i++) {
             cadence.want(true);
             assertTrue(cadence.due() <= NOW + i);
