--- a/src/main/java/cairnline/program/Server.java
+++ b/src/main/java/cairnline/program/Server.java
@@ -83,7 +83,7 @@
             log.info("snapshot.unused", "the configuration names engines; the kept list is not read");
             return;
         }
-        Snapshot kept = folder.newest(clock.micros());
+        Snapshot kept = folder.loadNewest(clock.micros());
         if (kept != null) {
             core.remembered(kept.engines());
             log.info("snapshot.restored", "starts from the kept list until the control feed tells", "engines",
--- a/src/test/java/cairnline/store/SnapshotFolderTest.java
+++ b/src/test/java/cairnline/store/SnapshotFolderTest.java
@@ -113,7 +113,7 @@
     }
 
     private int engines(long now) {
-        Snapshot newest = open().newest(now);
+        Snapshot newest = open().loadNewest(now);
         return newest == null ? 0 : newest.engines().size();
     }
 
@@ -143,7 +143,7 @@
         assertEquals(1, engines(NOW));
         assertEquals(List.of("snapshot.skipped FOREIGN", "snapshot.skipped CUT", "snapshot.skipped DAMAGED"), told.all());
         Files.delete(files.get(0));
-        assertNull(open().newest(NOW), "none is left, and the start goes on");
+        assertNull(open().loadNewest(NOW), "none is left, and the start goes on");
     }
 
     @Test
@@ -193,12 +193,12 @@
     @Test
     void aFolderThatIsMissingIsMadeAndOneThatIsAFileIsAnErrorOnly() throws IOException {
         SnapshotFolder deep = new SnapshotFolder(folder.resolve("a/b"), settings, told);
-        assertNull(deep.newest(NOW));
+        assertNull(deep.loadNewest(NOW));
         deep.write(bytes(1, NOW));
-        assertNotNull(deep.newest(NOW));
+        assertNotNull(deep.loadNewest(NOW));
         Path file = Files.writeString(folder.resolve("plain"), "x");
         SnapshotFolder wrong = new SnapshotFolder(file, settings, told);
-        assertNull(wrong.newest(NOW));
+        assertNull(wrong.loadNewest(NOW));
         assertThrows(IOException.class, () -> wrong.write(bytes(1, NOW)));
     }
 
@@ -226,7 +226,7 @@
             // Spread over the time that some dozens of writes take.
             TimeUnit.MICROSECONDS.sleep(i * 1_700L % 23_000);
             writer.destroyForcibly().waitFor();
-            Snapshot newest = open().newest(NOW);
+            Snapshot newest = open().loadNewest(NOW);
             assertNotNull(newest, "run " + i);
             int generation = (int) (newest.savedAt() - NOW + HOUR);
             assertEquals(SnapshotCodecTest.snapshot(200 + generation % 50, newest.savedAt()), newest);
@@ -281,7 +281,7 @@
         Files.delete(blocked);
         told.await("snapshot.kept.again");
         assertEquals(2, told.all().size(), told.all().toString());
-        assertEquals(1, new SnapshotFolder(blocked, quick, told).newest(NOW).engines().size());
+        assertEquals(1, new SnapshotFolder(blocked, quick, told).loadNewest(NOW).engines().size());
     }
 
     @Test
@@ -296,6 +296,6 @@
         }
         keeper.flush(10_000_000);
         assertTrue(generations().size() <= 2, "written: " + generations());
-        assertEquals(NOW + 999, open().newest(NOW).savedAt());
+        assertEquals(NOW + 999, open().loadNewest(NOW).savedAt());
     }
 }
