--- a/src/main/java/cairnline/program/Ready.java
+++ b/src/main/java/cairnline/program/Ready.java
@@ -27,7 +27,7 @@
 
     private static boolean is(int port) {
         try (Socket socket = new Socket(InetAddress.getByName("127.0.0.1"), port)) {
-            socket.getOutputStream().write(ClientFrames.frame(ClientFrames.READY_QUESTION, 1, new byte[] {0}));
+            socket.getOutputStream().write(ClientFrames.frame(ClientFrames.READINESS_REQUEST, 1, new byte[] {0}));
             DataInputStream in = new DataInputStream(socket.getInputStream());
             in.skipNBytes(HEAD);
             return in.read() == ClientFrames.CODE_SERVED;
--- a/src/main/java/cairnline/protocol/ClientFrames.java
+++ b/src/main/java/cairnline/protocol/ClientFrames.java
@@ -11,7 +11,7 @@
     public static final int REQUEST = 0;
     public static final int ANSWER = 1;
     public static final int WITHDRAWN = 2;
-    public static final int READY_QUESTION = 6;
+    public static final int READINESS_REQUEST = 6;
     public static final int READY_ANSWER = 7;
     public static final int NO_MORE_REQUESTS = 9;
 
--- a/src/test/java/cairnline/program/ProgramTest.java
+++ b/src/test/java/cairnline/program/ProgramTest.java
@@ -101,7 +101,7 @@
                 // The bare number is no event that was had, and the one before the break was.
                 assertEquals("SUB 1", line(second));
                 client.setSoTimeout((int) TimeUnit.SECONDS.toMillis(LIMIT_S));
-                client.getOutputStream().write(ClientFrames.frame(ClientFrames.READY_QUESTION, 1, new byte[] {0}));
+                client.getOutputStream().write(ClientFrames.frame(ClientFrames.READINESS_REQUEST, 1, new byte[] {0}));
                 assertEquals("7 1", frame(client));
                 process.toHandle().destroy();
                 assertEquals("9 -", frame(client));
