--- a/src/main/java/cairnline/protocol/ClientFrames.java
+++ b/src/main/java/cairnline/protocol/ClientFrames.java
@@ -12,7 +12,7 @@
     public static final int ANSWER = 1;
     public static final int WITHDRAWN = 2;
     public static final int READINESS_REQUEST = 6;
-    public static final int READY_ANSWER = 7;
+    public static final int READINESS_ANSWER = 7;
     public static final int NO_MORE_REQUESTS = 9;
 
     public static final int CODE_REFUSED = 0;
@@ -137,7 +137,7 @@
 
     /** The answer to the question whether this workload manager is ready. */
     public static byte[] ready(long stream, boolean ready) {
-        return coded(READY_ANSWER, stream, ready ? CODE_SERVED : CODE_REFUSED, Map.of(), new byte[0]);
+        return coded(READINESS_ANSWER, stream, ready ? CODE_SERVED : CODE_REFUSED, Map.of(), new byte[0]);
     }
 
     /** Tells the client to ask no more on this connection. */
--- a/src/test/java/cairnline/program/PlatformWire.java
+++ b/src/test/java/cairnline/program/PlatformWire.java
@@ -146,7 +146,7 @@
                     String body = new String(frame.payload(), 2, frame.payload().length - 2, StandardCharsets.UTF_8);
                     heard.add(new Heard(streams.getOrDefault(frame.stream(), "-"),
                             code == 1 ? "served" : code == 0 ? "refused" : "failed", body.replace("\t", "").strip().replace('\n', '|')));
-                } else if (frame.type() == ClientFrames.READY_ANSWER) {
+                } else if (frame.type() == ClientFrames.READINESS_ANSWER) {
                     heard.add(new Heard("-", "ready" + frame.payload()[0], "-"));
                 }
             }
