--- a/src/main/java/cairnline/transport/ClientSession.java
+++ b/src/main/java/cairnline/transport/ClientSession.java
@@ -242,7 +242,7 @@
     private void take(Frame frame, long now) {
         switch (frame.type()) {
             case ClientFrames.REQUEST -> request(frame, now);
-            case ClientFrames.WITHDRAWN -> withdraw(frame.stream());
+            case ClientFrames.CANCEL_REQUEST -> withdraw(frame.stream());
             case ClientFrames.READINESS_REQUEST ->
                     peer.send(ClientFrames.ready(frame.stream(), front.core().ready()));
             default -> throw new ProtocolException("type " + frame.type() + " is not a client's");
--- a/src/test/java/cairnline/program/FrameClient.java
+++ b/src/test/java/cairnline/program/FrameClient.java
@@ -93,7 +93,7 @@
     }
 
     void cancel(Call call) throws IOException {
-        write(ClientFrames.frame(ClientFrames.WITHDRAWN, call.stream, new byte[0]));
+        write(ClientFrames.frame(ClientFrames.CANCEL_REQUEST, call.stream, new byte[0]));
         call.cancelledAt = System.nanoTime();
     }
 
