--- a/src/main/java/cairnline/transport/ClientSession.java
+++ b/src/main/java/cairnline/transport/ClientSession.java
@@ -244,7 +244,7 @@
             case ClientFrames.REQUEST -> request(frame, now);
             case ClientFrames.CANCEL_REQUEST -> withdraw(frame.stream());
             case ClientFrames.READINESS_REQUEST ->
-                    peer.send(ClientFrames.ready(frame.stream(), front.core().ready()));
+                    peer.send(ClientFrames.readinessAnswer(frame.stream(), front.core().ready()));
             default -> throw new ProtocolException("type " + frame.type() + " is not a client's");
         }
     }
