--- a/src/main/java/cairnline/transport/ClientSession.java
+++ b/src/main/java/cairnline/transport/ClientSession.java
@@ -272,7 +272,7 @@
             return;
         }
         try {
-            Content content = ClientFrames.content(frame.payload());
+            Content content = ClientFrames.parseContent(frame.payload());
             take(stream, request(ClientRequest.read(content), stream, now));
         } catch (ProtocolException e) {
             peer.send(say(stream, ClientFrames.CODE_FAILED, e.getMessage()));
--- a/src/test/java/cairnline/program/FrameClient.java
+++ b/src/test/java/cairnline/program/FrameClient.java
@@ -167,7 +167,7 @@
         heard |= frame.type() != ClientFrames.ANSWER || frame.stream() > 0;
         if (call != null) {
             call.answers++;
-            call.rows = new String(ClientFrames.content(tail(frame.payload())).body(), StandardCharsets.UTF_8);
+            call.rows = new String(ClientFrames.parseContent(tail(frame.payload())).body(), StandardCharsets.UTF_8);
             call.code.complete((int) frame.payload()[0]);
         }
     }
--- a/src/test/java/cairnline/protocol/ClientFramesTest.java
+++ b/src/test/java/cairnline/protocol/ClientFramesTest.java
@@ -20,7 +20,7 @@
         byte[] frame = ClientFrames.request(1, fields, body.getBytes(StandardCharsets.UTF_8));
         ClientFrames decoder = new ClientFrames(262_144);
         decoder.feed(frame, frame.length);
-        return ClientRequest.read(ClientFrames.content(decoder.next().payload()));
+        return ClientRequest.read(ClientFrames.parseContent(decoder.next().payload()));
     }
 
     private static ClientRequest with(String name, String value) {
@@ -82,7 +82,7 @@
     @Test
     void fieldsThatRunPastTheFrameAreRejected() {
         for (byte[] payload : new byte[][] {{1}, {1, 5, 'a'}, {1, 1, 'a', 0}, {1, 1, 'a', 0, 9, 'b'}}) {
-            assertThrows(ProtocolException.class, () -> ClientFrames.content(payload));
+            assertThrows(ProtocolException.class, () -> ClientFrames.parseContent(payload));
         }
     }
 
