--- a/src/main/java/cairnline/protocol/ClientFrames.java
+++ b/src/main/java/cairnline/protocol/ClientFrames.java
@@ -94,7 +94,7 @@
     }
 
     /** Whether a frame has begun and not ended. */
-    public boolean partial() {
+    public boolean hasPartialInput() {
         return dropped != null || bytes.size() > 0;
     }
 
--- a/src/main/java/cairnline/protocol/HttpDecoder.java
+++ b/src/main/java/cairnline/protocol/HttpDecoder.java
@@ -29,7 +29,7 @@
     }
 
     /** Whether a message has begun and not ended. */
-    public boolean partial() {
+    public boolean hasPartialInput() {
         return head != null || bytes.size() > 0;
     }
 
--- a/src/main/java/cairnline/protocol/Resp.java
+++ b/src/main/java/cairnline/protocol/Resp.java
@@ -62,7 +62,7 @@
     }
 
     /** Whether an array has begun and not ended. */
-    public boolean partial() {
+    public boolean hasPartialInput() {
         return missing >= 0 || bytes.size() > 0;
     }
 
--- a/src/main/java/cairnline/transport/ClientSession.java
+++ b/src/main/java/cairnline/transport/ClientSession.java
@@ -126,7 +126,7 @@
                 whole = true;
                 take(frame, now);
             }
-            allowance.read(now, whole, frames.partial());
+            allowance.read(now, whole, frames.hasPartialInput());
             if (!allowance.hold(frames.held())) {
                 frames.dropPartial();
                 allowance.hold(frames.held());
@@ -187,7 +187,7 @@
     /** The client sends no more: what is open is answered for one that still reads. */
     @Override
     public boolean inputEnded(long since) {
-        if (frames.partial() && !isDraining()) {
+        if (frames.hasPartialInput() && !isDraining()) {
             stopReading("the connection ended inside a frame");
             return true;
         }
--- a/src/main/java/cairnline/transport/HttpCaller.java
+++ b/src/main/java/cairnline/transport/HttpCaller.java
@@ -38,7 +38,7 @@
             String host = address.getHostString() + ":" + address.getPort();
             socket.getOutputStream().write(request.with("host", host).bytes());
             HttpMessage answer = answer(socket.getInputStream());
-            if (decoder.partial()) {
+            if (decoder.hasPartialInput()) {
                 throw new ProtocolException("more came than one answer");
             }
             if (answer.closes()) {
--- a/src/main/java/cairnline/transport/ODataSession.java
+++ b/src/main/java/cairnline/transport/ODataSession.java
@@ -112,7 +112,7 @@
                 Arrival arrival = new Arrival(request, now);
                 peer.offer(turn -> arrived(arrival));
             }
-            allowance.read(now, whole, requests.partial());
+            allowance.read(now, whole, requests.hasPartialInput());
             if (!allowance.hold(requests.held())) {
                 endInput(ODataModel.error(503, "too much has begun and not ended").with("retry-after", "1"));
             }
@@ -159,7 +159,7 @@
     @Override
     public boolean inputEnded(long since) {
         front.loop().schedule(since + DETACH_AFTER_MICROS, peer, this::leave);
-        endInput(requests.partial() ? ODataModel.error(400, "the connection ended inside a request") : null);
+        endInput(requests.hasPartialInput() ? ODataModel.error(400, "the connection ended inside a request") : null);
         return true;
     }
 
--- a/src/main/java/cairnline/transport/RespConnection.java
+++ b/src/main/java/cairnline/transport/RespConnection.java
@@ -103,7 +103,7 @@
 
     @Override
     public synchronized boolean isQuiescent() {
-        return !over && !answers.partial() && exchanges.values().stream().noneMatch(exchange -> exchange.written)
+        return !over && !answers.hasPartialInput() && exchanges.values().stream().noneMatch(exchange -> exchange.written)
                 && probes.values().stream().noneMatch(probe -> probe.written);
     }
 
@@ -385,7 +385,7 @@
     @Override
     public long due(long lastRead) {
         long usual = Math.min(limits.engines().idle(), limits.engines().silence());
-        return lastRead + (answers.partial() ? limits.engines().partialAnswer() : usual);
+        return lastRead + (answers.hasPartialInput() ? limits.engines().partialAnswer() : usual);
     }
 
     /**
@@ -396,10 +396,10 @@
     public synchronized boolean quiet(long now) {
         long still = now - Math.max(askedAt, heardAt);
         boolean idle = exchanges.isEmpty() && probes.isEmpty();
-        if (answers.partial() || !idle && still >= limits.engines().silence()) {
+        if (answers.hasPartialInput() || !idle && still >= limits.engines().silence()) {
             seen = Evidence.SILENCE;
         }
-        over |= answers.partial() || still >= (idle ? limits.engines().idle() : limits.engines().silence());
+        over |= answers.hasPartialInput() || still >= (idle ? limits.engines().idle() : limits.engines().silence());
         return !over;
     }
 
--- a/src/test/java/cairnline/protocol/ClientFramesTest.java
+++ b/src/test/java/cairnline/protocol/ClientFramesTest.java
@@ -40,7 +40,7 @@
         frames.feed(Arrays.copyOfRange(large, 8, 500), 492);
         frames.dropPartial();
         assertEquals(0, frames.held());
-        assertTrue(frames.partial());
+        assertTrue(frames.hasPartialInput());
         assertNull(frames.next());
         byte[] rest = Arrays.copyOfRange(large, 500, large.length + next.length);
         System.arraycopy(next, 0, rest, large.length - 500, next.length);
