--- a/src/main/java/cairnline/protocol/ClientFrames.java
+++ b/src/main/java/cairnline/protocol/ClientFrames.java
@@ -99,7 +99,7 @@
     }
 
     /** Bytes of a frame that has begun and not ended. */
-    public int held() {
+    public int bufferedBytes() {
         return bytes.size();
     }
 
--- a/src/main/java/cairnline/protocol/HttpDecoder.java
+++ b/src/main/java/cairnline/protocol/HttpDecoder.java
@@ -34,7 +34,7 @@
     }
 
     /** Bytes of a message that has begun and not ended. */
-    public int held() {
+    public int bufferedBytes() {
         return bytes.size() + chunks.size() + (head == null ? 0 : 1);
     }
 
--- a/src/main/java/cairnline/transport/ClientSession.java
+++ b/src/main/java/cairnline/transport/ClientSession.java
@@ -127,9 +127,9 @@
                 take(frame, now);
             }
             allowance.read(now, whole, frames.hasPartialInput());
-            if (!allowance.hold(frames.held())) {
+            if (!allowance.hold(frames.bufferedBytes())) {
                 frames.dropPartial();
-                allowance.hold(frames.held());
+                allowance.hold(frames.bufferedBytes());
             }
         } catch (ProtocolException e) {
             stopReading(e.getMessage());
--- a/src/main/java/cairnline/transport/ODataSession.java
+++ b/src/main/java/cairnline/transport/ODataSession.java
@@ -113,7 +113,7 @@
                 peer.offer(turn -> arrived(arrival));
             }
             allowance.read(now, whole, requests.hasPartialInput());
-            if (!allowance.hold(requests.held())) {
+            if (!allowance.hold(requests.bufferedBytes())) {
                 endInput(ODataModel.error(503, "too much has begun and not ended").with("retry-after", "1"));
             }
         } catch (ProtocolException e) {
--- a/src/test/java/cairnline/protocol/ClientFramesTest.java
+++ b/src/test/java/cairnline/protocol/ClientFramesTest.java
@@ -36,10 +36,10 @@
         ClientFrames frames = new ClientFrames(2_000);
         frames.feed(large, 8);
         frames.dropPartial();
-        assertEquals(8, frames.held(), "the stream has not come yet");
+        assertEquals(8, frames.bufferedBytes(), "the stream has not come yet");
         frames.feed(Arrays.copyOfRange(large, 8, 500), 492);
         frames.dropPartial();
-        assertEquals(0, frames.held());
+        assertEquals(0, frames.bufferedBytes());
         assertTrue(frames.hasPartialInput());
         assertNull(frames.next());
         byte[] rest = Arrays.copyOfRange(large, 500, large.length + next.length);
