--- a/src/main/java/cairnline/protocol/ClientFrames.java
+++ b/src/main/java/cairnline/protocol/ClientFrames.java
@@ -35,7 +35,7 @@
     }
 
     /** One frame; the payload is what follows the stream, and empty where it was dropped. */
-    public record Frame(int type, long stream, byte[] payload, boolean isDropped) { }
+    public record Frame(int type, long stream, byte[] payload, boolean payloadDropped) { }
 
     /** Fields and what follows them. */
     public record Content(Map<String, String> fields, byte[] body) { }
--- a/src/main/java/cairnline/transport/ClientSession.java
+++ b/src/main/java/cairnline/transport/ClientSession.java
@@ -262,7 +262,7 @@
             // An answer on that stream could be taken for the answer to its first request.
             throw new ProtocolException("stream " + stream + " is not new on this connection");
         }
-        if (frame.isDropped()) {
+        if (frame.payloadDropped()) {
             peer.send(say(stream, ClientFrames.CODE_REFUSED, "too much has begun and not ended"));
             return;
         }
--- a/src/test/java/cairnline/protocol/ClientFramesTest.java
+++ b/src/test/java/cairnline/protocol/ClientFramesTest.java
@@ -47,7 +47,7 @@
         frames.feed(rest, rest.length);
         ClientFrames.Frame dropped = frames.next();
         assertEquals(5, dropped.stream());
-        assertTrue(dropped.isDropped());
+        assertTrue(dropped.payloadDropped());
         assertEquals(6, frames.next().stream());
         assertNull(frames.next());
     }
