--- a/src/main/java/cairnline/protocol/ClientFrames.java
+++ b/src/main/java/cairnline/protocol/ClientFrames.java
@@ -51,7 +51,7 @@
      * Drops what is held of the frame that has begun, and the rest of it as it comes: {@link #next} gives it without its
      * payload once it is whole. Nothing is dropped of a frame whose length, type and stream have not come yet.
      */
-    public void dropPartial() {
+    public void dropPartialPayload() {
         if (dropped == null && bytes.size() >= LENGTH + HEAD) {
             droppedLeft = LENGTH + bytes.number(0) - bytes.size();
             dropped = new Frame(bytes.at(LENGTH), bytes.number(LENGTH + 1), new byte[0], true);
--- a/src/main/java/cairnline/transport/ClientSession.java
+++ b/src/main/java/cairnline/transport/ClientSession.java
@@ -128,7 +128,7 @@
             }
             allowance.read(now, whole, frames.hasPartialInput());
             if (!allowance.hold(frames.bufferedBytes())) {
-                frames.dropPartial();
+                frames.dropPartialPayload();
                 allowance.hold(frames.bufferedBytes());
             }
         } catch (ProtocolException e) {
--- a/src/test/java/cairnline/protocol/ClientFramesTest.java
+++ b/src/test/java/cairnline/protocol/ClientFramesTest.java
@@ -35,10 +35,10 @@
         byte[] next = ClientFrames.request(6, Map.of(), new byte[] {1});
         ClientFrames frames = new ClientFrames(2_000);
         frames.feed(large, 8);
-        frames.dropPartial();
+        frames.dropPartialPayload();
         assertEquals(8, frames.bufferedBytes(), "the stream has not come yet");
         frames.feed(Arrays.copyOfRange(large, 8, 500), 492);
-        frames.dropPartial();
+        frames.dropPartialPayload();
         assertEquals(0, frames.bufferedBytes());
         assertTrue(frames.hasPartialInput());
         assertNull(frames.next());
