--- a/src/main/java/cairnline/protocol/ClientFrames.java
+++ b/src/main/java/cairnline/protocol/ClientFrames.java
@@ -60,7 +60,7 @@
     }
 
     /** The stream of a request that has begun and not ended; 0 if there is none, or its stream has not come yet. */
-    public long partialRequest() {
+    public long partialRequestStream() {
         boolean known = dropped == null && bytes.size() >= LENGTH + HEAD && bytes.at(LENGTH) == REQUEST;
         return known ? bytes.number(LENGTH + 1) : 0;
     }
--- a/src/main/java/cairnline/transport/ClientSession.java
+++ b/src/main/java/cairnline/transport/ClientSession.java
@@ -138,7 +138,7 @@
 
     /** What follows can't be used. */
     private void stopReading(String problem) {
-        long unfinished = frames.partialRequest();
+        long unfinished = frames.partialRequestStream();
         front.log().warn("client.unreadable", problem, "peer", peer.address(), "open", ids(openRequests()));
         peer.send(error(problem));
         if (unfinished > 0 && usedStreams.use(unfinished)) {
