--- a/src/main/java/cairnline/protocol/ClientRequest.java
+++ b/src/main/java/cairnline/protocol/ClientRequest.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /** A client's request, its fields checked. */
-public record ClientRequest(String id, String type, byte[] statement, String repeatKey, Long order, long ttlMs,
+public record ClientRequest(String id, String type, byte[] statement, String idempotencyKey, Long order, long ttlMs,
                             long workMicros, double memory, int tables) {
     private static final int ID_LENGTH = 16;
     private static final int REPEAT_KEY_MOST = 128;
@@ -19,7 +19,7 @@
         if (id.length() != ID_LENGTH || !isHex(id)) {
             throw new ProtocolException("call is not 16 hex digits");
         }
-        return new ClientRequest(id, needed(fields, "op"), content.body(), repeatKey(fields.get("dedupe")),
+        return new ClientRequest(id, needed(fields, "op"), content.body(), idempotencyKey(fields.get("dedupe")),
                 order(fields.get("row")), ttl(needed(fields, "ttl")),
                 (long) (estimate(fields, "work") * MICROS_PER_MILLI), estimate(fields, "heap"),
                 SchemaGroup.of(new String(content.body(), StandardCharsets.UTF_8)));
@@ -38,7 +38,7 @@
     }
 
     /** It stands in an engine's field list as it is, so it must not hold what divides that list. */
-    public static String repeatKey(String value) {
+    public static String idempotencyKey(String value) {
         if (value == null) {
             return null;
         }
--- a/src/main/java/cairnline/protocol/ODataRequest.java
+++ b/src/main/java/cairnline/protocol/ODataRequest.java
@@ -16,7 +16,7 @@
  * entity, or the whole set where the request names none; {@code entity} is true for the former. {@code waitMs} is how
  * long its client said that it waits, 0 if it did not. {@code passed} is the request as the engine gets it.
  */
-public record ODataRequest(EntitySet set, boolean write, String type, String order, boolean entity, String repeatKey,
+public record ODataRequest(EntitySet set, boolean write, String type, String order, boolean entity, String idempotencyKey,
                            long waitMs, HttpMessage passed) {
     private static final Set<String> WRITES = Set.of("POST", "PUT", "PATCH", "DELETE");
     private static final Set<String> PASSED = Set.of("accept", "content-type", "prefer", "if-match", "if-none-match",
@@ -61,9 +61,9 @@
                 headers.put(name, value);
             }
         });
-        String repeatKey = write ? repeatability(http, headers, firstSent) : null;
+        String idempotencyKey = write ? repeatability(http, headers, firstSent) : null;
         return new ODataRequest(set, write, type, key == null ? set.name() : set.name() + "(" + key + ")",
-                key != null, repeatKey, waitMs(http),
+                key != null, idempotencyKey, waitMs(http),
                 HttpMessage.request(http.method(), http.target(), headers, http.body()));
     }
 
@@ -146,7 +146,7 @@
             throw new ODataException(400, "Repeatability-First-Sent is not an HTTP date");
         }
         try {
-            ClientRequest.repeatKey(id);
+            ClientRequest.idempotencyKey(id);
         } catch (ProtocolException e) {
             throw new ODataException(400, "Repeatability-Request-ID is not a plain word");
         }
--- a/src/main/java/cairnline/transport/ClientSession.java
+++ b/src/main/java/cairnline/transport/ClientSession.java
@@ -304,13 +304,13 @@
         if (rules == null) {
             throw new ProtocolException("op names no class: " + r.type());
         }
-        if (rules.keyed() && r.repeatKey() == null) {
+        if (rules.keyed() && r.idempotencyKey() == null) {
             throw new ProtocolException("dedupe is missing for class " + r.type());
         }
         if (rules.ordered() && r.order() == null) {
             throw new ProtocolException("row is missing for class " + r.type());
         }
-        return new Request(r.id(), r.type(), r.statement(), rules.keyed() ? r.repeatKey() : null,
+        return new Request(r.id(), r.type(), r.statement(), rules.keyed() ? r.idempotencyKey() : null,
                 rules.ordered() ? r.order() : null, now, Clock.ofMillis(r.ttlMs()), r.workMicros(), r.memory(), r.tables(),
                 (request, answer) -> answered(stream, answer));
     }
--- a/src/main/java/cairnline/transport/RespConnection.java
+++ b/src/main/java/cairnline/transport/RespConnection.java
@@ -190,8 +190,8 @@
         Map<String, String> fields = new LinkedHashMap<>();
         fields.put("profile", request.type());
         fields.put("max", Long.toString(Clock.toMillis(attempt.endsAt() - now)));
-        if (request.repeatKey() != null) {
-            fields.put("replay", request.repeatKey());
+        if (request.idempotencyKey() != null) {
+            fields.put("replay", request.idempotencyKey());
         }
         fields.put("rank", Integer.toString(attempt.priority()));
         return Resp.array(utf8("do"), utf8(request.id()), utf8(Resp.fields(fields)), request.statement());
