--- a/src/main/java/cairnline/transport/ClientSession.java
+++ b/src/main/java/cairnline/transport/ClientSession.java
@@ -307,11 +307,11 @@
         if (rules.keyed() && r.idempotencyKey() == null) {
             throw new ProtocolException("dedupe is missing for class " + r.type());
         }
-        if (rules.ordered() && r.order() == null) {
+        if (rules.ordered() && r.orderingKey() == null) {
             throw new ProtocolException("row is missing for class " + r.type());
         }
         return new Request(r.id(), r.type(), r.statement(), rules.keyed() ? r.idempotencyKey() : null,
-                rules.ordered() ? r.order() : null, now, Clock.ofMillis(r.ttlMs()), r.workMicros(), r.memory(), r.tables(),
+                rules.ordered() ? r.orderingKey() : null, now, Clock.ofMillis(r.ttlMs()), r.workMicros(), r.memory(), r.tables(),
                 (request, answer) -> answered(stream, answer));
     }
 
