--- a/src/main/java/cairnline/transport/ClientSession.java
+++ b/src/main/java/cairnline/transport/ClientSession.java
@@ -311,7 +311,7 @@
             throw new ProtocolException("row is missing for class " + r.type());
         }
         return new Request(r.id(), r.type(), r.statement(), rules.keyed() ? r.idempotencyKey() : null,
-                rules.ordered() ? r.orderingKey() : null, now, Clock.ofMillis(r.ttlMs()), r.workMicros(), r.memory(), r.tables(),
+                rules.ordered() ? r.orderingKey() : null, now, Clock.ofMillis(r.ttlMs()), r.workMicros(), r.memory(), r.tableGroup(),
                 (request, answer) -> answered(stream, answer));
     }
 
--- a/src/main/java/cairnline/transport/ODataCall.java
+++ b/src/main/java/cairnline/transport/ODataCall.java
@@ -36,7 +36,7 @@
         long patience = asked.waitMs() > 0 ? Math.min(most, Clock.ofMillis(asked.waitMs())) : most;
         this.request = new Request(String.format("%016x", NUMBERS.incrementAndGet()), asked.type(),
                 asked.passed().bytes(), asked.idempotencyKey(), asked.write() ? orderKey(asked.orderingKey()) : null, now,
-                patience, 0, 0, asked.set().tables(), (r, answer) -> done.accept(http(answer)));
+                patience, 0, 0, asked.set().tableGroup(), (r, answer) -> done.accept(http(answer)));
     }
 
     /** Reads a request as HTTP brought it. */
