--- a/src/main/java/cairnline/transport/RespConnection.java
+++ b/src/main/java/cairnline/transport/RespConnection.java
@@ -275,7 +275,7 @@
         answers.feed(bytes, count);
         try {
             for (List<byte[]> parts = answers.next(); parts != null; parts = answers.next()) {
-                take(EngineMessage.of(parts));
+                take(EngineMessage.parse(parts));
             }
         } catch (ProtocolException e) {
             // What follows can't be told apart any more; the end of the connection ends what is out on it.
--- a/src/test/java/cairnline/protocol/RespTest.java
+++ b/src/test/java/cairnline/protocol/RespTest.java
@@ -42,7 +42,7 @@
 
     @Test
     void anAnswersFieldsAreRead() {
-        EngineMessage message = EngineMessage.of(List.of("t".getBytes(StandardCharsets.UTF_8),
+        EngineMessage message = EngineMessage.parse(List.of("t".getBytes(StandardCharsets.UTF_8),
                 "READY".getBytes(StandardCharsets.UTF_8),
                 "report=inflight:7;util:0.61".getBytes(StandardCharsets.UTF_8)));
         assertEquals(Map.of("inflight", 7.0, "util", 0.61), message.report());
@@ -75,7 +75,7 @@
         Resp resp = new Resp(4, 100);
         byte[] bytes = Resp.words(words);
         resp.feed(bytes, bytes.length);
-        return EngineMessage.of(resp.next());
+        return EngineMessage.parse(resp.next());
     }
 
     @Test
