--- a/src/main/java/cairnline/transport/RespConnection.java
+++ b/src/main/java/cairnline/transport/RespConnection.java
@@ -293,7 +293,7 @@
             probe = message.kind() == EngineMessage.Kind.PROBE ? probes.remove(message.id()) : null;
         }
         if (probe != null) {
-            probe.answer.accept(message.report());
+            probe.answer.accept(message.loadReport());
             return;
         }
         Exchange exchange;
--- a/src/test/java/cairnline/protocol/RespTest.java
+++ b/src/test/java/cairnline/protocol/RespTest.java
@@ -45,7 +45,7 @@
         EngineMessage message = EngineMessage.parse(List.of("t".getBytes(StandardCharsets.UTF_8),
                 "READY".getBytes(StandardCharsets.UTF_8),
                 "report=inflight:7;util:0.61".getBytes(StandardCharsets.UTF_8)));
-        assertEquals(Map.of("inflight", 7.0, "util", 0.61), message.report());
+        assertEquals(Map.of("inflight", 7.0, "util", 0.61), message.loadReport());
         assertThrows(ProtocolException.class, () -> Resp.fields("novalue"));
         assertEquals("-", Resp.fields(Map.of()));
     }
