--- a/src/main/java/cairnline/transport/RespConnection.java
+++ b/src/main/java/cairnline/transport/RespConnection.java
@@ -332,11 +332,11 @@
 
     /** A second copy of a page takes nothing from the first. */
     private void page(Exchange exchange, EngineMessage message) {
-        if (!exchange.result.awaits(message.page())) {
+        if (!exchange.result.awaits(message.pageNumber())) {
             return;
         }
         if (exchange.attempt.wanted()) {
-            put(exchange, message.page(), message.body());
+            put(exchange, message.pageNumber(), message.body());
         } else {
             forget(exchange, Attempt.Result.of(End.OK));
         }
