--- a/src/main/java/cairnline/transport/RespConnection.java
+++ b/src/main/java/cairnline/transport/RespConnection.java
@@ -359,7 +359,7 @@
     }
 
     private void note(Attempt attempt, EngineMessage message) {
-        switch (message.note()) {
+        switch (message.statusName()) {
             case "advance" -> core.noted(attempt, NoteKind.PROGRESS, message.amount());
             case "disk" -> core.noted(attempt, NoteKind.SPILL, message.amount());
             case "stall" -> core.noted(attempt,
