--- a/src/main/java/cairnline/transport/RespConnection.java
+++ b/src/main/java/cairnline/transport/RespConnection.java
@@ -360,10 +360,10 @@
 
     private void note(Attempt attempt, EngineMessage message) {
         switch (message.statusName()) {
-            case "advance" -> core.noted(attempt, NoteKind.PROGRESS, message.amount());
-            case "disk" -> core.noted(attempt, NoteKind.SPILL, message.amount());
+            case "advance" -> core.noted(attempt, NoteKind.PROGRESS, message.statusValue());
+            case "disk" -> core.noted(attempt, NoteKind.SPILL, message.statusValue());
             case "stall" -> core.noted(attempt,
-                    message.amount() >= 2 ? NoteKind.WAITS_LOAD : NoteKind.WAITS_MEMORY, message.amount());
+                    message.statusValue() >= 2 ? NoteKind.WAITS_LOAD : NoteKind.WAITS_MEMORY, message.statusValue());
             default -> { }
         }
     }
