--- a/src/main/java/cairnline/protocol/EngineMessage.java
+++ b/src/main/java/cairnline/protocol/EngineMessage.java
@@ -15,7 +15,7 @@
     private static final double MICROS_PER_MILLI = 1_000;
 
     /** What an answer says. */
-    public enum Kind { OK, FULL, ERROR, STALE, NOTE, PAGE, PROBE }
+    public enum Kind { OK, FULL, ERROR, STALE, STATUS, PAGE, PROBE }
 
     /** Reads the parts of an answer. */
     public static EngineMessage of(List<byte[]> parts) {
@@ -51,7 +51,7 @@
             case "AGAIN" -> Kind.FULL;
             case "EIO" -> Kind.ERROR;
             case "STALE" -> Kind.STALE;
-            case "EVENT" -> Kind.NOTE;
+            case "EVENT" -> Kind.STATUS;
             case "BLOCK" -> Kind.PAGE;
             case "READY", "AILING" -> Kind.PROBE;
             default -> throw new ProtocolException("no engine's word: " + word);
--- a/src/main/java/cairnline/transport/RespConnection.java
+++ b/src/main/java/cairnline/transport/RespConnection.java
@@ -309,7 +309,7 @@
             case FULL -> end(exchange, Attempt.Result.of(End.FULL));
             case ERROR -> end(exchange, Attempt.Result.of(End.ERROR));
             case STALE -> end(exchange, Attempt.Result.of(End.NOT_SENT));
-            case NOTE -> note(exchange.attempt, message);
+            case STATUS -> note(exchange.attempt, message);
             case PROBE -> throw new ProtocolException("a probe's word for a request");
         }
     }
