--- a/src/main/java/cairnline/protocol/PagedResult.java
+++ b/src/main/java/cairnline/protocol/PagedResult.java
@@ -56,7 +56,7 @@
     public byte[] requests(String id) {
         ByteArrayOutputStream commands = new ByteArrayOutputStream();
         for (int page = 1; page < pages.length; page++) {
-            commands.writeBytes(Resp.words("page", id, Integer.toString(page)));
+            commands.writeBytes(Resp.stringArray("page", id, Integer.toString(page)));
         }
         return commands.toByteArray();
     }
--- a/src/main/java/cairnline/standin/StandInFleet.java
+++ b/src/main/java/cairnline/standin/StandInFleet.java
@@ -194,14 +194,14 @@
     private void answer(SocketChannel channel, Place place, List<String> command) throws IOException {
         String id = command.get(1);
         if (command.get(0).equals("top")) {
-            channel.write(ByteBuffer.wrap(Resp.words(id, "READY", "report=inflight:0;util:0;x0:0;x1:0", "")));
+            channel.write(ByteBuffer.wrap(Resp.stringArray(id, "READY", "report=inflight:0;util:0;x0:0;x1:0", "")));
         } else if (command.get(0).equals("do") && resets > 0) {
             resets--;
             reset(channel);
             place.connected.remove(channel);
         } else if (command.get(0).equals("do")) {
             place.asked++;
-            channel.write(ByteBuffer.wrap(Resp.words(id, "ACK", "parts=1,work=20.0,peak=8", "row-of-" + id + "\t\t\n")));
+            channel.write(ByteBuffer.wrap(Resp.stringArray(id, "ACK", "parts=1,work=20.0,peak=8", "row-of-" + id + "\t\t\n")));
         }
     }
 
--- a/src/main/java/cairnline/standin/StandInRespEngine.java
+++ b/src/main/java/cairnline/standin/StandInRespEngine.java
@@ -165,7 +165,7 @@
                 notifyAll();
             }
             case "undo" -> open.values().removeIf(asked -> asked.id.equals(id) && asked.from == from);
-            case "ping", "top" -> write(from, Resp.words(id, "READY", String.format(Locale.ROOT,
+            case "ping", "top" -> write(from, Resp.stringArray(id, "READY", String.format(Locale.ROOT,
                     "report=inflight:%d;util:%.2f;x0:0;x1:0", model.inflight(), model.utilization()), ""));
             default -> { }
         }
@@ -196,7 +196,7 @@
         for (String own : done) {
             Asked asked = open.remove(own);
             if (asked != null) {
-                write(asked.from, Resp.words(asked.id, "ACK", String.format(Locale.ROOT, "parts=1,work=%.1f,peak=8",
+                write(asked.from, Resp.stringArray(asked.id, "ACK", String.format(Locale.ROOT, "parts=1,work=%.1f,peak=8",
                         asked.work / 1_000.0), "row-of-" + asked.id + "\t\t\n"));
             }
         }
@@ -204,7 +204,7 @@
 
     private void tellProgress() {
         for (Map.Entry<String, Asked> each : open.entrySet()) {
-            write(each.getValue().from, Resp.words(each.getValue().id, "EVENT", String.format(Locale.ROOT,
+            write(each.getValue().from, Resp.stringArray(each.getValue().id, "EVENT", String.format(Locale.ROOT,
                     "remark=advance,value=%.4f", model.progress(each.getKey())), ""));
         }
     }
--- a/src/main/java/cairnline/transport/RespConnection.java
+++ b/src/main/java/cairnline/transport/RespConnection.java
@@ -210,13 +210,13 @@
             undone.put(id, Boolean.TRUE);
         }
         if (written) {
-            peer.send(Resp.words("undo", id));
+            peer.send(Resp.stringArray("undo", id));
         }
     }
 
     void bump(Attempt attempt, int priority) {
         if (isOut(attempt)) {
-            peer.send(Resp.words("bump", attempt.request().id(), Integer.toString(priority)));
+            peer.send(Resp.stringArray("bump", attempt.request().id(), Integer.toString(priority)));
         }
     }
 
@@ -237,7 +237,7 @@
         }
         boolean left = peer.ask(now -> {
             written(probe, now);
-            return Resp.words("top", tag);
+            return Resp.stringArray("top", tag);
         });
         if (left) {
             return true;
@@ -355,7 +355,7 @@
     /** Ends an attempt whose further pages are not wanted; what is on its way finds nothing here. */
     private void forget(Exchange exchange, Attempt.Result result) {
         end(exchange, result);
-        peer.send(Resp.words("forget", exchange.attempt.request().id()));
+        peer.send(Resp.stringArray("forget", exchange.attempt.request().id()));
     }
 
     private void note(Attempt attempt, EngineMessage message) {
--- a/src/test/java/cairnline/program/PlatformWire.java
+++ b/src/test/java/cairnline/program/PlatformWire.java
@@ -118,20 +118,20 @@
     @Override
     public byte[] reply(String name, String outcome, String row) {
         return switch (outcome) {
-            case "ok" -> Resp.words(id(name), "ACK", "parts=1,work=20.0,peak=8", row + "\t\t\n");
-            case "ready" -> Resp.words(name, "READY", "report=inflight:0;util:0.0", "");
-            case "full" -> Resp.words(id(name), "AGAIN", "-", "");
+            case "ok" -> Resp.stringArray(id(name), "ACK", "parts=1,work=20.0,peak=8", row + "\t\t\n");
+            case "ready" -> Resp.stringArray(name, "READY", "report=inflight:0;util:0.0", "");
+            case "full" -> Resp.stringArray(id(name), "AGAIN", "-", "");
             case "noise" -> (row + "\r\n").getBytes(StandardCharsets.UTF_8);
-            case "half" -> Arrays.copyOf(Resp.words(id(name), "ACK", "parts=1", row + "\t\t\n"), 30);
-            case "error" -> Resp.words(id(name), "EIO", "-", "");
+            case "half" -> Arrays.copyOf(Resp.stringArray(id(name), "ACK", "parts=1", row + "\t\t\n"), 30);
+            case "error" -> Resp.stringArray(id(name), "EIO", "-", "");
             default -> page(name, outcome.split(":"), row);
         };
     }
 
     /** {@code pages:3} answers well with page 0 of 3, {@code page:1} is a further page. */
     private static byte[] page(String name, String[] which, String row) {
-        return which[0].equals("pages") ? Resp.words(id(name), "ACK", "parts=" + which[1], row + "\t\t\n")
-                : Resp.words(id(name), "BLOCK", "part_no=" + which[1], row + "\t\t\n");
+        return which[0].equals("pages") ? Resp.stringArray(id(name), "ACK", "parts=" + which[1], row + "\t\t\n")
+                : Resp.stringArray(id(name), "BLOCK", "part_no=" + which[1], row + "\t\t\n");
     }
 
     @Override
--- a/src/test/java/cairnline/program/ReadersTest.java
+++ b/src/test/java/cairnline/program/ReadersTest.java
@@ -84,7 +84,7 @@
             resp.feed(bytes, socket.getInputStream().read(bytes));
             parts = resp.next();
         }
-        socket.getOutputStream().write(Resp.words(new String(parts.get(1), StandardCharsets.UTF_8), "READY",
+        socket.getOutputStream().write(Resp.stringArray(new String(parts.get(1), StandardCharsets.UTF_8), "READY",
                 "report=inflight:0;util:0.0", ""));
     }
 }
--- a/src/test/java/cairnline/program/RecordingEngine.java
+++ b/src/test/java/cairnline/program/RecordingEngine.java
@@ -116,10 +116,10 @@
                     end(undone);
                 }
             }
-            case "page" -> write(socket, Resp.words(id, "BLOCK", "part_no=" + command.get(2), "page-of-" + id + "\t\t\n"));
+            case "page" -> write(socket, Resp.stringArray(id, "BLOCK", "part_no=" + command.get(2), "page-of-" + id + "\t\t\n"));
             case "ping", "top" -> {
                 if (!hanging) {
-                    write(socket, Resp.words(id, "READY", "report=inflight:0;util:0.0;x0:0;x1:0", ""));
+                    write(socket, Resp.stringArray(id, "READY", "report=inflight:0;util:0.0;x0:0;x1:0", ""));
                 }
             }
             default -> { }
@@ -133,11 +133,11 @@
         if (hanging || draw < 3) {
             return;
         }
-        byte[] answer = draw < 10 ? Resp.words(id, "AGAIN", "-", "")
-                : draw < 15 ? Resp.words(id, "EIO", "-", "")
-                : draw < 18 ? Resp.words(id, "STALE", "-", "")
-                : draw < 24 ? Resp.words(id, "ACK", "parts=2,work=20.0,peak=8", "row-of-" + id + "\t\t\n")
-                : Resp.words(id, "ACK", "parts=1,work=20.0,peak=8", "row-of-" + id + "\t\t\n");
+        byte[] answer = draw < 10 ? Resp.stringArray(id, "AGAIN", "-", "")
+                : draw < 15 ? Resp.stringArray(id, "EIO", "-", "")
+                : draw < 18 ? Resp.stringArray(id, "STALE", "-", "")
+                : draw < 24 ? Resp.stringArray(id, "ACK", "parts=2,work=20.0,peak=8", "row-of-" + id + "\t\t\n")
+                : Resp.stringArray(id, "ACK", "parts=1,work=20.0,peak=8", "row-of-" + id + "\t\t\n");
         boolean neverRan = draw < 10 || draw >= 15 && draw < 18;
         timer.schedule(() -> {
             if (running.remove(id, attempt)) {
--- a/src/test/java/cairnline/protocol/RespTest.java
+++ b/src/test/java/cairnline/protocol/RespTest.java
@@ -19,7 +19,7 @@
 
     @Test
     void anArrayIsReadHoweverItsBytesAreCut() {
-        byte[] bytes = Resp.words("id", "ACK", "parts=2", "a\r\nb");
+        byte[] bytes = Resp.stringArray("id", "ACK", "parts=2", "a\r\nb");
         Resp resp = new Resp(8, 100);
         for (int i = 0; i < bytes.length - 1; i++) {
             resp.feed(new byte[] {bytes[i]}, 1);
@@ -73,7 +73,7 @@
 
     private static EngineMessage message(String... words) {
         Resp resp = new Resp(4, 100);
-        byte[] bytes = Resp.words(words);
+        byte[] bytes = Resp.stringArray(words);
         resp.feed(bytes, bytes.length);
         return EngineMessage.parse(resp.next());
     }
