--- a/src/main/java/cairnline/transport/RespConnection.java
+++ b/src/main/java/cairnline/transport/RespConnection.java
@@ -316,7 +316,7 @@
 
     /** Page 0 is there; all others are asked for at once, so that the answer waits for one way and back only. */
     private void first(Exchange exchange, EngineMessage message) {
-        if (!exchange.result.begin(message)) {
+        if (!exchange.result.start(message)) {
             return;
         }
         boolean isPaged = exchange.result.count() > 1;
