--- a/src/main/java/cairnline/transport/RespConnection.java
+++ b/src/main/java/cairnline/transport/RespConnection.java
@@ -332,7 +332,7 @@
 
     /** A second copy of a page takes nothing from the first. */
     private void page(Exchange exchange, EngineMessage message) {
-        if (!exchange.result.awaits(message.pageNumber())) {
+        if (!exchange.result.isMissing(message.pageNumber())) {
             return;
         }
         if (exchange.attempt.wanted()) {
