--- a/src/main/java/cairnline/protocol/PagedResult.java
+++ b/src/main/java/cairnline/protocol/PagedResult.java
@@ -67,7 +67,7 @@
     }
 
     /** Whether all pages have come. */
-    public boolean isWhole() {
+    public boolean isComplete() {
         return pages != null && missing == 0;
     }
 
--- a/src/main/java/cairnline/transport/RespConnection.java
+++ b/src/main/java/cairnline/transport/RespConnection.java
@@ -347,7 +347,7 @@
         result.put(page, rows);
         if (result.size() > limits.engines().resultBytes()) {
             forget(exchange, Attempt.Result.of(End.ERROR));
-        } else if (result.isWhole()) {
+        } else if (result.isComplete()) {
             end(exchange, new Attempt.Result(End.OK, result.whole(), result.work(), result.memory()));
         }
     }
@@ -374,7 +374,7 @@
             if (!exchanges.remove(id, exchange)) {
                 return;
             }
-            if (result.end() != End.OK || !exchange.result.isWhole()) {
+            if (result.end() != End.OK || !exchange.result.isComplete()) {
                 // A further attempt bears the same id: it must not meet here what may still come of this one.
                 undone.put(id, Boolean.TRUE);
             }
