--- a/src/main/java/cairnline/transport/RespConnection.java
+++ b/src/main/java/cairnline/transport/RespConnection.java
@@ -325,7 +325,7 @@
             return;
         }
         if (isPaged) {
-            peer.send(exchange.result.requests(exchange.attempt.request().id()));
+            peer.send(exchange.result.pageRequests(exchange.attempt.request().id()));
         }
         put(exchange, 0, message.body());
     }
