--- a/src/main/java/cairnline/transport/RespConnection.java
+++ b/src/main/java/cairnline/transport/RespConnection.java
@@ -348,7 +348,7 @@
         if (result.size() > limits.engines().resultBytes()) {
             forget(exchange, Attempt.Result.of(End.ERROR));
         } else if (result.isComplete()) {
-            end(exchange, new Attempt.Result(End.OK, result.whole(), result.work(), result.memory()));
+            end(exchange, new Attempt.Result(End.OK, result.join(), result.work(), result.memory()));
         }
     }
 
