--- a/src/main/java/cairnline/program/Configuration.java
+++ b/src/main/java/cairnline/program/Configuration.java
@@ -185,7 +185,7 @@
         List<FeedEvent> events = new ArrayList<>();
         try {
             for (Object event : Json.asList(held.getOrDefault("events", List.of()), "events")) {
-                events.add(FeedEvent.of(event));
+                events.add(FeedEvent.parse(event));
             }
         } catch (ProtocolException | ClassCastException e) {
             throw new ConfigurationException("known.events", e.getMessage());
