--- a/src/main/java/cairnline/transport/FeedClient.java
+++ b/src/main/java/cairnline/transport/FeedClient.java
@@ -114,7 +114,7 @@
         for (int count = first(from, buffer); count >= 0; count = receive(from, buffer, silentAt)) {
             bytes.feed(buffer, 0, count);
             for (int end = bytes.indexOf('\n', searched); end >= 0; end = bytes.indexOf('\n', 0)) {
-                changed(FeedEvent.line(bytes.take(end)));
+                changed(FeedEvent.parseLine(bytes.take(end)));
                 bytes.skip(1);
                 silentAt = clock.micros() + limits.feed().silence();
             }
--- a/src/test/java/cairnline/protocol/FeedEventTest.java
+++ b/src/test/java/cairnline/protocol/FeedEventTest.java
@@ -15,7 +15,7 @@
     }
 
     private static FeedEvent event(int number, boolean whole, String... hosts) {
-        return FeedEvent.line(("{\"n\":" + number + ",\"members\":{\"seq\":" + number + ",\"whole\":" + whole + ",\"hosts\":["
+        return FeedEvent.parseLine(("{\"n\":" + number + ",\"members\":{\"seq\":" + number + ",\"whole\":" + whole + ",\"hosts\":["
                 + String.join(",", hosts) + "]}}").getBytes(StandardCharsets.UTF_8));
     }
 
@@ -53,6 +53,6 @@
     @Test
     void anEventThatEndsInTheMiddleIsAnError() {
         byte[] line = "{\"n\":1,\"members\":{\"seq\":1,\"whole\":true,\"hosts\":[{\"host\":\"a\"".getBytes(StandardCharsets.UTF_8);
-        assertThrows(ProtocolException.class, () -> FeedEvent.line(line));
+        assertThrows(ProtocolException.class, () -> FeedEvent.parseLine(line));
     }
 }
