--- a/src/main/java/cairnline/program/Server.java
+++ b/src/main/java/cairnline/program/Server.java
@@ -72,7 +72,7 @@
         }
         // As one event: its actor does not run yet, and its mailbox holds fewer than a long day has.
         list.changed(configuration.knownLast(), true, configuration.known().stream().allMatch(e -> e.hosts() == null) ? null
-                : FeedClient.entries(FeedEvent.standing(configuration.knownLast(), configuration.known()), wallClock));
+                : FeedClient.entries(FeedEvent.currentList(configuration.knownLast(), configuration.known()), wallClock));
         odata = settings.odata() == null ? null
                 : new ODataServer(configuration, settings.odata(), loop, log);
     }
