--- a/src/main/java/cairnline/transport/FeedClient.java
+++ b/src/main/java/cairnline/transport/FeedClient.java
@@ -158,7 +158,7 @@
         return event.hosts() == null ? null : event.hosts().stream().map(host -> entry(host, wallClock)).toList();
     }
 
-    private static ListedEngine entry(FeedEvent.Host host, WallClock wallClock) {
+    private static ListedEngine entry(FeedEvent.EngineEntry host, WallClock wallClock) {
         Listed listed = switch (host.state()) {
             case IN_SERVICE -> Listed.READY;
             case TERMINATING -> Listed.DRAINING;
