--- a/src/main/java/cairnline/program/Server.java
+++ b/src/main/java/cairnline/program/Server.java
@@ -71,7 +71,7 @@
             remember(folder);
         }
         // As one event: its actor does not run yet, and its mailbox holds fewer than a long day has.
-        list.changed(configuration.knownLast(), true, configuration.known().stream().allMatch(e -> e.hosts() == null) ? null
+        list.changed(configuration.knownLast(), true, configuration.known().stream().allMatch(e -> e.engines() == null) ? null
                 : FeedClient.entries(FeedEvent.currentList(configuration.knownLast(), configuration.known()), wallClock));
         odata = settings.odata() == null ? null
                 : new ODataServer(configuration, settings.odata(), loop, log);
@@ -79,7 +79,7 @@
 
     /** What the configuration knows comes from the feed itself, and so stands above what the disk remembers. */
     private void remember(SnapshotFolder folder) {
-        if (started.known().stream().anyMatch(event -> event.hosts() != null && !event.hosts().isEmpty())) {
+        if (started.known().stream().anyMatch(event -> event.engines() != null && !event.engines().isEmpty())) {
             log.info("snapshot.unused", "the configuration names engines; the kept list is not read");
             return;
         }
--- a/src/main/java/cairnline/transport/FeedClient.java
+++ b/src/main/java/cairnline/transport/FeedClient.java
@@ -155,7 +155,7 @@
 
     /** The entries of an event in the core's terms; null if it does not change the list. */
     public static List<ListedEngine> entries(FeedEvent event, WallClock wallClock) {
-        return event.hosts() == null ? null : event.hosts().stream().map(host -> entry(host, wallClock)).toList();
+        return event.engines() == null ? null : event.engines().stream().map(host -> entry(host, wallClock)).toList();
     }
 
     private static ListedEngine entry(FeedEvent.EngineEntry host, WallClock wallClock) {
--- a/src/test/java/cairnline/protocol/FeedEventTest.java
+++ b/src/test/java/cairnline/protocol/FeedEventTest.java
@@ -21,7 +21,7 @@
 
     private static String standing(FeedEvent... events) {
         FeedEvent standing = FeedEvent.currentList(events.length, List.of(events));
-        return standing.hosts().stream().map(host -> host.id() + "@" + host.address().substring(10) + " " + host.state())
+        return standing.engines().stream().map(host -> host.id() + "@" + host.address().substring(10) + " " + host.state())
                 .collect(Collectors.joining(", "));
     }
 
@@ -47,7 +47,7 @@
     @Test
     void tenThousandEnginesAreOneList() {
         String[] hosts = IntStream.range(0, 10_000).mapToObj(i -> host("s-" + i, 1 + i, "in_service")).toArray(String[]::new);
-        assertEquals(10_000, FeedEvent.currentList(1, List.of(event(1, true, hosts))).hosts().size());
+        assertEquals(10_000, FeedEvent.currentList(1, List.of(event(1, true, hosts))).engines().size());
     }
 
     @Test
