--- a/src/main/java/cairnline/program/Server.java
+++ b/src/main/java/cairnline/program/Server.java
@@ -118,7 +118,7 @@
 
     private void tell(Configuration configuration) {
         configuration.known().forEach(event ->
-                list.changed(event.number(), event.whole(), FeedClient.entries(event, wallClock)));
+                list.changed(event.number(), event.complete(), FeedClient.entries(event, wallClock)));
     }
 
     /** Reads the configuration again, all of it before any of it counts; with a fault in it the old one stays. */
--- a/src/main/java/cairnline/transport/FeedClient.java
+++ b/src/main/java/cairnline/transport/FeedClient.java
@@ -149,7 +149,7 @@
     private void changed(FeedEvent event) {
         wallClock.sample();
         if (event != null) {
-            list.changed(event.number(), event.whole(), entries(event, wallClock));
+            list.changed(event.number(), event.complete(), entries(event, wallClock));
         }
     }
 
