--- a/src/main/java/cairnline/transport/FeedClient.java
+++ b/src/main/java/cairnline/transport/FeedClient.java
@@ -164,7 +164,7 @@
             case TERMINATING -> Listed.DRAINING;
             case TERMINATED -> Listed.GONE;
         };
-        long startedAt = wallClock.startOf(host.id(), Clock.ofUnix(host.bornMs()));
+        long startedAt = wallClock.startOf(host.id(), Clock.ofUnix(host.startedAtMillis()));
         if (listed == Listed.GONE) {
             wallClock.forget(host.id());
         }
