--- a/src/main/java/cairnline/protocol/ODataBatch.java
+++ b/src/main/java/cairnline/protocol/ODataBatch.java
@@ -205,7 +205,7 @@
     private static HttpMessage embedded(byte[] bytes) {
         int end = headEnd(bytes);
         if (end < 0) {
-            return HttpMessage.of(concat(bytes, "\r\n\r\n".getBytes(StandardCharsets.US_ASCII)));
+            return HttpMessage.parse(concat(bytes, "\r\n\r\n".getBytes(StandardCharsets.US_ASCII)));
         }
         byte[] body = Arrays.copyOfRange(bytes, end, bytes.length);
         byte[] head = Arrays.copyOf(bytes, end);
--- a/src/main/java/cairnline/transport/HttpConnection.java
+++ b/src/main/java/cairnline/transport/HttpConnection.java
@@ -91,7 +91,7 @@
             core.ended(next, Attempt.Result.of(End.NOT_SENT));
             return null;
         }
-        return withHost(HttpMessage.of(next.request().statement()));
+        return withHost(HttpMessage.parse(next.request().statement()));
     }
 
     private byte[] withHost(HttpMessage request) {
--- a/src/main/java/cairnline/transport/ODataCall.java
+++ b/src/main/java/cairnline/transport/ODataCall.java
@@ -69,7 +69,7 @@
     private static HttpMessage http(Answer answer) {
         try {
             return switch (answer.kind()) {
-                case SERVED -> HttpMessage.of(answer.rows());
+                case SERVED -> HttpMessage.parse(answer.rows());
                 case REFUSED -> ODataModel.error(503, answer.reason()).with("retry-after",
                         Long.toString(Math.max(1, (answer.retryAfter() + MICROS_PER_SECOND - 1) / MICROS_PER_SECOND)));
                 case FAILED -> ODataModel.error(answer.late() ? 504 : 502, answer.reason());
