--- a/src/main/java/cairnline/transport/ODataSession.java
+++ b/src/main/java/cairnline/transport/ODataSession.java
@@ -280,7 +280,7 @@
     /** The documents that need no engine; null for all else. */
     private HttpMessage document(HttpMessage request) {
         String path = path(request);
-        if (!request.start()[2].equals("HTTP/1.0") && request.header("host").isEmpty()) {
+        if (!request.startLine()[2].equals("HTTP/1.0") && request.header("host").isEmpty()) {
             throw new ODataException(400, "the Host header is missing");
         }
         boolean service = path.isEmpty() || path.equals("/");
