--- a/src/main/java/cairnline/transport/HttpCaller.java
+++ b/src/main/java/cairnline/transport/HttpCaller.java
@@ -41,7 +41,7 @@
             if (decoder.hasPartialInput()) {
                 throw new ProtocolException("more came than one answer");
             }
-            if (answer.closes()) {
+            if (answer.closesConnection()) {
                 close();
             }
             return answer;
--- a/src/main/java/cairnline/transport/HttpConnection.java
+++ b/src/main/java/cairnline/transport/HttpConnection.java
@@ -162,7 +162,7 @@
         }
         if (!good || pageCount > limits.http().pages()) {
             end(answer, Attempt.Result.of(End.ERROR));
-        } else if (next != null && now.wanted() && !answer.closes()) {
+        } else if (next != null && now.wanted() && !answer.closesConnection()) {
             peer.send(withHost(HttpMessage.request("GET", next, Map.of("accept", "application/json"),
                     new byte[0])));
         } else if (next != null && now.wanted()) {
@@ -185,12 +185,12 @@
         synchronized (this) {
             ended = attempt;
             attempt = null;
-            over |= answer.closes();
+            over |= answer.closesConnection();
         }
         if (ended != null) {
             core.ended(ended, result);
         }
-        if (answer.closes()) {
+        if (answer.closesConnection()) {
             close();
         }
     }
--- a/src/main/java/cairnline/transport/ODataSession.java
+++ b/src/main/java/cairnline/transport/ODataSession.java
@@ -253,7 +253,7 @@
         busy = false;
         unanswered.decrementAndGet();
         allowance.answered(front.clock().micros());
-        boolean last = request.closes() || front.isStopping();
+        boolean last = request.closesConnection() || front.isStopping();
         HttpMessage told = whole.headers().containsKey("odata-version") ? whole : whole.with("odata-version",
                 request.header("odata-maxversion").equals("4.0") ? "4.0" : "4.01");
         if (last) {
