--- a/src/main/java/cairnline/transport/HttpConnection.java
+++ b/src/main/java/cairnline/transport/HttpConnection.java
@@ -95,7 +95,7 @@
     }
 
     private byte[] withHost(HttpMessage request) {
-        return request.with("host", address.getHostString() + ":" + address.getPort()).bytes();
+        return request.withHeader("host", address.getHostString() + ":" + address.getPort()).bytes();
     }
 
     @Override
--- a/src/main/java/cairnline/transport/ODataCall.java
+++ b/src/main/java/cairnline/transport/ODataCall.java
@@ -59,7 +59,7 @@
 
     /** Answers it without handing it to the core. */
     void refuse(String reason) {
-        done.accept(ODataModel.error(503, reason).with("retry-after", "1"));
+        done.accept(ODataModel.error(503, reason).withHeader("retry-after", "1"));
     }
 
     void abandon() {
@@ -70,7 +70,7 @@
         try {
             return switch (answer.kind()) {
                 case SERVED -> HttpMessage.parse(answer.rows());
-                case REFUSED -> ODataModel.error(503, answer.reason()).with("retry-after",
+                case REFUSED -> ODataModel.error(503, answer.reason()).withHeader("retry-after",
                         Long.toString(Math.max(1, (answer.retryAfter() + MICROS_PER_SECOND - 1) / MICROS_PER_SECOND)));
                 case FAILED -> ODataModel.error(answer.late() ? 504 : 502, answer.reason());
             };
--- a/src/main/java/cairnline/transport/ODataSession.java
+++ b/src/main/java/cairnline/transport/ODataSession.java
@@ -73,8 +73,8 @@
 
     @Override
     public void tooMany() {
-        Peer.turnAway(channel, ODataModel.error(503, "too many connections").with("retry-after", "1")
-                .with("connection", "close").bytes());
+        Peer.turnAway(channel, ODataModel.error(503, "too many connections").withHeader("retry-after", "1")
+                .withHeader("connection", "close").bytes());
     }
 
     @Override
@@ -114,7 +114,7 @@
             }
             allowance.read(now, whole, requests.hasPartialInput());
             if (!allowance.hold(requests.bufferedBytes())) {
-                endInput(ODataModel.error(503, "too much has begun and not ended").with("retry-after", "1"));
+                endInput(ODataModel.error(503, "too much has begun and not ended").withHeader("retry-after", "1"));
             }
         } catch (ProtocolException e) {
             endInput(ODataModel.error(400, e.getMessage()));
@@ -138,7 +138,7 @@
         }
         finished = true;
         if (lastWord != null) {
-            peer.send(lastWord.with("connection", "close").bytes());
+            peer.send(lastWord.withHeader("connection", "close").bytes());
         }
         peer.finish();
     }
@@ -254,14 +254,14 @@
         unanswered.decrementAndGet();
         allowance.answered(front.clock().micros());
         boolean last = request.closesConnection() || front.isStopping();
-        HttpMessage told = whole.headers().containsKey("odata-version") ? whole : whole.with("odata-version",
+        HttpMessage told = whole.headers().containsKey("odata-version") ? whole : whole.withHeader("odata-version",
                 request.header("odata-maxversion").equals("4.0") ? "4.0" : "4.01");
         if (last) {
             inputOver = true;
             finished = true;
             peer.ignoreInput();
             peer.finish();
-            return told.with("connection", "close").bytes();
+            return told.withHeader("connection", "close").bytes();
         }
         later(() -> {
             byte[] following = busy ? null : next();
