--- a/src/main/java/cairnline/protocol/ODataBatch.java
+++ b/src/main/java/cairnline/protocol/ODataBatch.java
@@ -292,7 +292,7 @@
                 String head = "--" + BOUNDARY + "\r\ncontent-type: application/http\r\ncontent-id: "
                         + items.get(i).id() + "\r\n\r\n";
                 out.writeBytes(head.getBytes(StandardCharsets.UTF_8));
-                out.writeBytes(answers.get(i).bytes());
+                out.writeBytes(answers.get(i).encode());
                 out.writeBytes("\r\n".getBytes(StandardCharsets.US_ASCII));
             }
         }
--- a/src/main/java/cairnline/transport/HttpCaller.java
+++ b/src/main/java/cairnline/transport/HttpCaller.java
@@ -36,7 +36,7 @@
                 decoder = new HttpDecoder(1 << 16, mostBody);
             }
             String host = address.getHostString() + ":" + address.getPort();
-            socket.getOutputStream().write(request.withHeader("host", host).bytes());
+            socket.getOutputStream().write(request.withHeader("host", host).encode());
             HttpMessage answer = answer(socket.getInputStream());
             if (decoder.hasPartialInput()) {
                 throw new ProtocolException("more came than one answer");
--- a/src/main/java/cairnline/transport/HttpConnection.java
+++ b/src/main/java/cairnline/transport/HttpConnection.java
@@ -95,7 +95,7 @@
     }
 
     private byte[] withHost(HttpMessage request) {
-        return request.withHeader("host", address.getHostString() + ":" + address.getPort()).bytes();
+        return request.withHeader("host", address.getHostString() + ":" + address.getPort()).encode();
     }
 
     @Override
@@ -168,7 +168,7 @@
         } else if (next != null && now.wanted()) {
             end(answer, Attempt.Result.of(End.ERROR));
         } else {
-            byte[] whole = pages.whole().bytes();
+            byte[] whole = pages.whole().encode();
             end(answer, whole.length > limits.http().bodyBytes() ? Attempt.Result.of(End.ERROR)
                     : new Attempt.Result(End.OK, whole, 0, 0));
         }
--- a/src/main/java/cairnline/transport/ODataSession.java
+++ b/src/main/java/cairnline/transport/ODataSession.java
@@ -74,7 +74,7 @@
     @Override
     public void tooMany() {
         Peer.turnAway(channel, ODataModel.error(503, "too many connections").withHeader("retry-after", "1")
-                .withHeader("connection", "close").bytes());
+                .withHeader("connection", "close").encode());
     }
 
     @Override
@@ -138,7 +138,7 @@
         }
         finished = true;
         if (lastWord != null) {
-            peer.send(lastWord.withHeader("connection", "close").bytes());
+            peer.send(lastWord.withHeader("connection", "close").encode());
         }
         peer.finish();
     }
@@ -261,7 +261,7 @@
             finished = true;
             peer.ignoreInput();
             peer.finish();
-            return told.withHeader("connection", "close").bytes();
+            return told.withHeader("connection", "close").encode();
         }
         later(() -> {
             byte[] following = busy ? null : next();
@@ -270,7 +270,7 @@
             }
             finishIfAnswered();
         });
-        return told.bytes();
+        return told.encode();
     }
 
     private static String path(HttpMessage request) {
--- a/src/main/java/cairnline/transport/StandInEngine.java
+++ b/src/main/java/cairnline/transport/StandInEngine.java
@@ -72,7 +72,7 @@
                     HttpMessage answer = m.method().equals("GET")
                             ? HttpMessage.response(200, ODataModel.JSON, ROWS)
                             : HttpMessage.response(204, Map.of(), new byte[0]);
-                    peer.send(answer.bytes());
+                    peer.send(answer.encode());
                 }
             } catch (ProtocolException e) {
                 peer.close();
--- a/src/test/java/cairnline/program/ODataWire.java
+++ b/src/test/java/cairnline/program/ODataWire.java
@@ -75,13 +75,13 @@
         headers.put("host", "localhost");
         headers.put("prefer", "wait=" + Math.max(1, ask.ttlMs() / 1000));
         if (ask.key() == null) {
-            return HttpMessage.request("GET", "/Books(1)?r=" + ask.name(), headers, new byte[0]).bytes();
+            return HttpMessage.request("GET", "/Books(1)?r=" + ask.name(), headers, new byte[0]).encode();
         }
         headers.put("content-type", JSON);
         headers.put("repeatability-request-id", "key-of-" + ask.name());
         headers.put("repeatability-first-sent", "Tue, 01 Dec 2026 10:00:00 GMT");
         return HttpMessage.request("PATCH", "/Books('" + ask.key() + "')?r=" + ask.name(), headers,
-                "{}".getBytes(StandardCharsets.UTF_8)).bytes();
+                "{}".getBytes(StandardCharsets.UTF_8)).encode();
     }
 
     @Override
@@ -104,7 +104,7 @@
         if (outcome.startsWith("next:") || outcome.equals("last")) {
             String link = outcome.equals("last") ? "" : ",\"@odata.nextLink\":\"/Books?r=" + outcome.substring(5) + "\"";
             return HttpMessage.response(200, JSON,
-                    ("{\"value\":[\"" + row + "\"]" + link + "}").getBytes(StandardCharsets.UTF_8)).bytes();
+                    ("{\"value\":[\"" + row + "\"]" + link + "}").getBytes(StandardCharsets.UTF_8)).encode();
         }
         int status = switch (outcome) {
             case "ok" -> 200;
@@ -114,7 +114,7 @@
         };
         // The name comes back in a header of the answer's body, since HTTP answers bear no id.
         byte[] body = ("{\"name\":\"" + name + "\",\"row\":\"" + row + "\"}").getBytes(StandardCharsets.UTF_8);
-        return HttpMessage.response(status, JSON, body).bytes();
+        return HttpMessage.response(status, JSON, body).encode();
     }
 
     @Override
--- a/src/test/java/cairnline/program/RehearsalTest.java
+++ b/src/test/java/cairnline/program/RehearsalTest.java
@@ -95,7 +95,7 @@
         assertEquals(1, got.size());
         assertEquals("GET /Books(1)?$select=Title", got.get(0).method() + " " + got.get(0).target());
         assertEquals("application/json", got.get(0).header("accept"));
-        assertFalse(new String(got.get(0).bytes(), StandardCharsets.UTF_8).contains("s3cret"));
+        assertFalse(new String(got.get(0).encode(), StandardCharsets.UTF_8).contains("s3cret"));
         assertTrue(report.contains("read 1 1 0 0 0 0"), report);
         assertTrue(report.contains("1 writes left out"), report);
         assertTrue(report.contains("entry 2: startedDateTime is no time: soon"), report);
