--- a/src/main/java/cairnline/protocol/ODataBatch.java
+++ b/src/main/java/cairnline/protocol/ODataBatch.java
@@ -73,7 +73,7 @@
     }
 
     /** The groups of more than one request: they would have to happen together or not at all. */
-    public Set<String> manyInGroup() {
+    public Set<String> multiRequestGroups() {
         Set<String> seen = new HashSet<>();
         Set<String> many = new HashSet<>();
         for (Item item : items) {
--- a/src/main/java/cairnline/transport/ODataBatchRun.java
+++ b/src/main/java/cairnline/transport/ODataBatchRun.java
@@ -38,7 +38,7 @@
     /** Starts; the answer of the whole batch comes on the session's actor or the core's thread. */
     void start(Consumer<HttpMessage> done) {
         whole = done;
-        Set<String> refused = batch.manyInGroup();
+        Set<String> refused = batch.multiRequestGroups();
         for (int i = 0; i < asked.length; i++) {
             Item item = batch.items().get(i);
             try {
