--- a/src/main/java/cairnline/transport/ODataCall.java
+++ b/src/main/java/cairnline/transport/ODataCall.java
@@ -35,7 +35,7 @@
         long most = front.patience(asked.type());
         long patience = asked.waitMs() > 0 ? Math.min(most, Clock.ofMillis(asked.waitMs())) : most;
         this.request = new Request(String.format("%016x", NUMBERS.incrementAndGet()), asked.type(),
-                asked.passed().encode(), asked.idempotencyKey(), asked.write() ? orderKey(asked.orderingKey()) : null, now,
+                asked.forwarded().encode(), asked.idempotencyKey(), asked.write() ? orderKey(asked.orderingKey()) : null, now,
                 patience, 0, 0, asked.set().tableGroup(), (r, answer) -> done.accept(http(answer)));
     }
 
