--- a/src/main/java/cairnline/transport/HttpConnection.java
+++ b/src/main/java/cairnline/transport/HttpConnection.java
@@ -155,7 +155,7 @@
         boolean good = answer.status() / 100 == 2 || pageCount == 0;
         String next = null;
         try {
-            next = good ? pages.take(answer) : null;
+            next = good ? pages.addPage(answer) : null;
             pageCount++;
         } catch (ProtocolException e) {
             good = false;
