--- a/src/main/java/cairnline/transport/HttpConnection.java
+++ b/src/main/java/cairnline/transport/HttpConnection.java
@@ -168,7 +168,7 @@
         } else if (next != null && now.wanted()) {
             end(answer, Attempt.Result.of(End.ERROR));
         } else {
-            byte[] whole = pages.whole().encode();
+            byte[] whole = pages.join().encode();
             end(answer, whole.length > limits.http().bodyBytes() ? Attempt.Result.of(End.ERROR)
                     : new Attempt.Result(End.OK, whole, 0, 0));
         }
