--- a/src/main/java/cairnline/program/Rehearsal.java
+++ b/src/main/java/cairnline/program/Rehearsal.java
@@ -106,7 +106,7 @@
             if (recorded == null) {
                 return;
             }
-            if (recorded.writes() && !options.writes()) {
+            if (recorded.isWrite() && !options.writes()) {
                 writesLeftOut++;
                 continue;
             }
