--- a/src/main/java/cairnline/program/Rehearsal.java
+++ b/src/main/java/cairnline/program/Rehearsal.java
@@ -110,8 +110,8 @@
                 writesLeftOut++;
                 continue;
             }
-            first = first == Long.MIN_VALUE ? recorded.at() : first;
-            long due = start + (long) (Math.max(0, recorded.at() - first) / options.speed());
+            first = first == Long.MIN_VALUE ? recorded.timestampMillis() : first;
+            long due = start + (long) (Math.max(0, recorded.timestampMillis() - first) / options.speed());
             if (due > end) {
                 return;
             }
