--- a/src/main/java/cairnline/program/Rehearsal.java
+++ b/src/main/java/cairnline/program/Rehearsal.java
@@ -139,13 +139,13 @@
             } catch (ProtocolException e) {
                 badCount++;
                 if (bad.size() < NAMED) {
-                    bad.add(recording.place() + ": " + e.getMessage());
+                    bad.add(recording.position() + ": " + e.getMessage());
                 }
             } catch (MalformedInputException e) {
-                throw new ConfigurationException("--access-log", recording.place() + " and on: not UTF-8 text");
+                throw new ConfigurationException("--access-log", recording.position() + " and on: not UTF-8 text");
             } catch (IOException e) {
                 throw new ConfigurationException(options.har() != null ? "--har" : "--access-log",
-                        "after " + recording.place() + ": " + e.getMessage());
+                        "after " + recording.position() + ": " + e.getMessage());
             }
         }
     }
