--- a/src/main/java/cairnline/protocol/AccessLog.java
+++ b/src/main/java/cairnline/protocol/AccessLog.java
@@ -10,66 +10,66 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** An access log in the NCSA common or combined format; it holds no bodies. */
+/** Reads requests from an access log in the NCSA common or combined format. The format records no bodies. */
 public final class AccessLog implements Recording {
-    private static final Pattern LINE = Pattern.compile(
+    private static final Pattern ENTRY_PATTERN = Pattern.compile(
             "\\S+ \\S+ .+? \\[([^\\]]+)\\] \"(\\S+) (\\S+)(?: HTTP/[0-9.]+)?\" [0-9]{3} (?:[0-9]+|-)(?: .*)?");
-    private static final DateTimeFormatter TIME =
+    private static final DateTimeFormatter TIMESTAMP_FORMAT =
             DateTimeFormatter.ofPattern("dd/MMM/yyyy:HH:mm:ss Z", Locale.ENGLISH);
-    private static final int LONGEST = 65_536;
+    private static final int MAX_LINE_CHARS = 65_536;
 
     private final BufferedReader lines;
-    private long number;
+    private long lineNumber;
 
-    /** Reads these lines. */
+    /** Creates a reader of these lines; {@link #close} closes them. */
     public AccessLog(BufferedReader lines) {
         this.lines = lines;
     }
 
     @Override
     public RecordedRequest next() throws IOException {
-        String line = line();
+        String line = readLine();
         while (line != null && line.isBlank()) {
-            line = line();
+            line = readLine();
         }
         if (line == null) {
             return null;
         }
-        Matcher matcher = LINE.matcher(line);
+        Matcher matcher = ENTRY_PATTERN.matcher(line);
         if (!matcher.matches()) {
             throw new ProtocolException("not in the common or combined format");
         }
         try {
-            long at = ZonedDateTime.parse(matcher.group(1), TIME).toInstant().toEpochMilli();
-            return RecordedRequest.of(at, matcher.group(2), matcher.group(3), Map.of(), new byte[0]);
+            long timestampMillis = ZonedDateTime.parse(matcher.group(1), TIMESTAMP_FORMAT).toInstant().toEpochMilli();
+            return RecordedRequest.of(timestampMillis, matcher.group(2), matcher.group(3), Map.of(), new byte[0]);
         } catch (DateTimeException e) {
-            throw new ProtocolException("no time: " + matcher.group(1));
+            throw new ProtocolException("invalid timestamp: " + matcher.group(1));
         }
     }
 
-    /** The next line; one too long to be a request's is passed over to its end without being kept. */
-    private String line() throws IOException {
+    /** Returns the next line, or null at the end of the log. The rest of an overlong line is read but not buffered. */
+    private String readLine() throws IOException {
         StringBuilder line = new StringBuilder();
         int c = lines.read();
         if (c < 0) {
             return null;
         }
-        number++;
+        lineNumber++;
         int length = 0;
         for (; c >= 0 && c != '\n'; c = lines.read()) {
-            if (length++ < LONGEST) {
+            if (length++ < MAX_LINE_CHARS) {
                 line.append((char) c);
             }
         }
-        if (length > LONGEST) {
-            throw new ProtocolException("longer than " + LONGEST);
+        if (length > MAX_LINE_CHARS) {
+            throw new ProtocolException("the line exceeds the limit in characters: " + MAX_LINE_CHARS);
         }
         return line.toString().stripTrailing();
     }
 
     @Override
-    public String place() {
-        return "line " + number;
+    public String position() {
+        return "line " + lineNumber;
     }
 
     @Override
--- a/src/main/java/cairnline/protocol/ByteQueue.java
+++ b/src/main/java/cairnline/protocol/ByteQueue.java
@@ -2,46 +2,46 @@
 
 import java.util.Arrays;
 
-/** Bytes received and not yet parsed: fed at the end, taken from the front. */
+/** A growable FIFO buffer of received bytes that have not been parsed yet. Not thread-safe. */
 public final class ByteQueue {
-    private static final int FIRST_SIZE = 512;
+    private static final int INITIAL_CAPACITY_BYTES = 512;
 
-    private byte[] bytes = new byte[FIRST_SIZE];
+    private byte[] bytes = new byte[INITIAL_CAPACITY_BYTES];
     private int start;
     private int end;
 
-    /** Appends what has been read. */
+    /** Appends {@code count} bytes of {@code from}, starting at {@code offset}. */
     public void feed(byte[] from, int offset, int count) {
         if (end + count > bytes.length) {
-            int held = end - start;
-            // An idle peer must not keep the room of its largest message.
-            byte[] room = held + count <= bytes.length && held > 0 ? bytes
-                    : new byte[Math.max(FIRST_SIZE, Integer.highestOneBit(held + count) * 2)];
-            System.arraycopy(bytes, start, room, 0, held);
-            bytes = room;
+            int size = end - start;
+            // Reallocates an empty buffer, so that an idle connection does not retain the capacity of its largest message.
+            byte[] target = size + count <= bytes.length && size > 0 ? bytes
+                    : new byte[Math.max(INITIAL_CAPACITY_BYTES, Integer.highestOneBit(size + count) * 2)];
+            System.arraycopy(bytes, start, target, 0, size);
+            bytes = target;
             start = 0;
-            end = held;
+            end = size;
         }
         System.arraycopy(from, offset, bytes, end, count);
         end += count;
     }
 
-    /** How many bytes are held. */
+    /** Returns the number of buffered bytes. */
     public int size() {
         return end - start;
     }
 
-    /** The byte this far from the front, unsigned. */
+    /** Returns the unsigned byte at this offset from the front. */
     public int at(int index) {
         return bytes[start + index] & 0xff;
     }
 
-    /** A big-endian 32-bit number this far from the front, unsigned. */
-    public long number(int index) {
+    /** Returns the unsigned big-endian 32-bit integer at this offset from the front. */
+    public long unsignedInt(int index) {
         return (long) at(index) << 24 | at(index + 1) << 16 | at(index + 2) << 8 | at(index + 3);
     }
 
-    /** Where this byte first occurs from an index on; -1 if not. */
+    /** Returns the offset of the first occurrence of this byte at or after {@code from}, or -1. */
     public int indexOf(int value, int from) {
         for (int i = from; i < size(); i++) {
             if (at(i) == value) {
@@ -51,14 +51,14 @@
         return -1;
     }
 
-    /** Takes so many bytes from the front. */
+    /** Removes and returns {@code count} bytes from the front. */
     public byte[] take(int count) {
         byte[] taken = Arrays.copyOfRange(bytes, start, start + count);
         skip(count);
         return taken;
     }
 
-    /** Drops so many bytes from the front. */
+    /** Discards {@code count} bytes from the front. */
     public void skip(int count) {
         start += count;
         if (start == end) {
--- a/src/main/java/cairnline/protocol/ClientFrames.java
+++ b/src/main/java/cairnline/protocol/ClientFrames.java
@@ -6,11 +6,11 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** The clients' binary frames: a decoder that is fed bytes, and writers. */
+/** Incremental decoder and encoders of the binary frame protocol of clients. Not thread-safe. */
 public final class ClientFrames {
     public static final int REQUEST = 0;
     public static final int ANSWER = 1;
-    public static final int WITHDRAWN = 2;
+    public static final int CANCEL_REQUEST = 2;
     public static final int READINESS_REQUEST = 6;
     public static final int READINESS_ANSWER = 7;
     public static final int NO_MORE_REQUESTS = 9;
@@ -19,133 +19,136 @@
     public static final int CODE_SERVED = 1;
     public static final int CODE_FAILED = 9;
 
-    /** Type and stream, which every length counts. */
-    private static final int HEAD = 5;
-    private static final int LENGTH = 4;
+    /** Size of type and stream number; the length field of a frame counts them. */
+    private static final int HEADER_BYTES = 5;
+    private static final int LENGTH_FIELD_BYTES = 4;
 
     private final ByteQueue bytes = new ByteQueue();
-    private final int largest;
-    /** A frame whose payload is dropped as it comes, and how many bytes of it are still to come; null without. */
-    private Frame dropped;
-    private long droppedLeft;
+    private final int maxFrameLength;
+    /** The incomplete frame whose payload is being discarded, or null. */
+    private Frame droppedFrame;
+    /** Bytes of {@link #droppedFrame} that have not been received yet. */
+    private long droppedBytesRemaining;
 
-    /** A decoder that takes frames up to this length. */
-    public ClientFrames(int largest) {
-        this.largest = largest;
+    /** Creates a decoder that rejects frames whose length field exceeds {@code maxFrameLength}. */
+    public ClientFrames(int maxFrameLength) {
+        this.maxFrameLength = maxFrameLength;
     }
 
-    /** One frame; the payload is what follows the stream, and empty where it was dropped. */
+    /** A decoded frame; the payload is empty if it was discarded by {@link #dropPartialPayload}. */
     public record Frame(int type, long stream, byte[] payload, boolean payloadDropped) { }
 
-    /** Fields and what follows them. */
+    /** The payload of a request or answer: its fields and the body after them. */
     public record Content(Map<String, String> fields, byte[] body) { }
 
-    /** Appends what has been read. */
+    /** Appends the first {@code count} bytes of {@code from}. */
     public void feed(byte[] from, int count) {
-        int skipped = (int) Math.min(count, droppedLeft);
-        droppedLeft -= skipped;
-        bytes.feed(from, skipped, count - skipped);
+        int discarded = (int) Math.min(count, droppedBytesRemaining);
+        droppedBytesRemaining -= discarded;
+        bytes.feed(from, discarded, count - discarded);
     }
 
     /**
-     * Drops what is held of the frame that has begun, and the rest of it as it comes: {@link #next} gives it without its
-     * payload once it is whole. Nothing is dropped of a frame whose length, type and stream have not come yet.
+     * Discards the payload of the incomplete frame, both the buffered part and the part still to be received.
+     * {@link #next} returns the frame without payload once it has been received completely. Does nothing while length,
+     * type and stream of the frame have not been received.
      */
     public void dropPartialPayload() {
-        if (dropped == null && bytes.size() >= LENGTH + HEAD) {
-            droppedLeft = LENGTH + bytes.number(0) - bytes.size();
-            dropped = new Frame(bytes.at(LENGTH), bytes.number(LENGTH + 1), new byte[0], true);
+        if (droppedFrame == null && bytes.size() >= LENGTH_FIELD_BYTES + HEADER_BYTES) {
+            droppedBytesRemaining = LENGTH_FIELD_BYTES + bytes.unsignedInt(0) - bytes.size();
+            droppedFrame = new Frame(bytes.at(LENGTH_FIELD_BYTES), bytes.unsignedInt(LENGTH_FIELD_BYTES + 1), new byte[0], true);
             bytes.skip(bytes.size());
         }
     }
 
-    /** The stream of a request that has begun and not ended; 0 if there is none, or its stream has not come yet. */
+    /** Returns the stream of an incomplete request, or 0 if there is none or its stream has not been received yet. */
     public long partialRequestStream() {
-        boolean known = dropped == null && bytes.size() >= LENGTH + HEAD && bytes.at(LENGTH) == REQUEST;
-        return known ? bytes.number(LENGTH + 1) : 0;
+        boolean known = droppedFrame == null && bytes.size() >= LENGTH_FIELD_BYTES + HEADER_BYTES
+                && bytes.at(LENGTH_FIELD_BYTES) == REQUEST;
+        return known ? bytes.unsignedInt(LENGTH_FIELD_BYTES + 1) : 0;
     }
 
-    /** The next whole frame; null until it is there. */
+    /** Returns the next complete frame, or null if it has not been received completely. */
     public Frame next() {
-        if (dropped != null) {
-            return droppedLeft > 0 ? null : takeDropped();
+        if (droppedFrame != null) {
+            return droppedBytesRemaining > 0 ? null : completeDroppedFrame();
         }
-        if (bytes.size() < LENGTH) {
+        if (bytes.size() < LENGTH_FIELD_BYTES) {
             return null;
         }
-        long length = bytes.number(0);
-        if (length < HEAD || length > largest) {
-            throw new ProtocolException("frame length " + length + " lies outside " + HEAD + " to " + largest);
+        long length = bytes.unsignedInt(0);
+        if (length < HEADER_BYTES || length > maxFrameLength) {
+            throw new ProtocolException("frame length " + length + " lies outside " + HEADER_BYTES + " to " + maxFrameLength);
         }
-        if (bytes.size() < LENGTH + length) {
+        if (bytes.size() < LENGTH_FIELD_BYTES + length) {
             return null;
         }
-        bytes.skip(LENGTH);
+        bytes.skip(LENGTH_FIELD_BYTES);
         int type = bytes.at(0);
-        long stream = bytes.number(1);
-        bytes.skip(HEAD);
-        return new Frame(type, stream, bytes.take((int) length - HEAD), false);
+        long stream = bytes.unsignedInt(1);
+        bytes.skip(HEADER_BYTES);
+        return new Frame(type, stream, bytes.take((int) length - HEADER_BYTES), false);
     }
 
-    private Frame takeDropped() {
-        Frame whole = dropped;
-        dropped = null;
-        return whole;
+    private Frame completeDroppedFrame() {
+        Frame frame = droppedFrame;
+        droppedFrame = null;
+        return frame;
     }
 
-    /** Whether a frame has begun and not ended. */
+    /** Returns whether an incomplete frame has been received. */
     public boolean hasPartialInput() {
-        return dropped != null || bytes.size() > 0;
+        return droppedFrame != null || bytes.size() > 0;
     }
 
-    /** Bytes of a frame that has begun and not ended. */
+    /** Returns the number of buffered bytes. */
     public int bufferedBytes() {
         return bytes.size();
     }
 
-    /** Splits a payload into its fields and its body. */
-    public static Content content(byte[] payload) {
+    /** Splits a payload into fields and body; throws {@link ProtocolException} if the fields are malformed. */
+    public static Content parseContent(byte[] payload) {
         Map<String, String> fields = new LinkedHashMap<>();
         if (payload.length == 0) {
             return new Content(fields, payload);
         }
-        int at = 1;
+        int position = 1;
         for (int i = 0; i < (payload[0] & 0xff); i++) {
-            int nameSize = at < payload.length ? payload[at] & 0xff : 0;
-            int valueAt = at + 1 + nameSize + 2;
-            if (valueAt > payload.length) {
+            int nameLength = position < payload.length ? payload[position] & 0xff : 0;
+            int valueStart = position + 1 + nameLength + 2;
+            if (valueStart > payload.length) {
                 throw new ProtocolException("the fields run past the end of the frame");
             }
-            int valueSize = (payload[valueAt - 2] & 0xff) << 8 | payload[valueAt - 1] & 0xff;
-            if (valueAt + valueSize > payload.length) {
+            int valueLength = (payload[valueStart - 2] & 0xff) << 8 | payload[valueStart - 1] & 0xff;
+            if (valueStart + valueLength > payload.length) {
                 throw new ProtocolException("the fields run past the end of the frame");
             }
-            String name = new String(payload, at + 1, nameSize, StandardCharsets.UTF_8);
-            String value = new String(payload, valueAt, valueSize, StandardCharsets.UTF_8);
+            String name = new String(payload, position + 1, nameLength, StandardCharsets.UTF_8);
+            String value = new String(payload, valueStart, valueLength, StandardCharsets.UTF_8);
             if (fields.put(name, value) != null) {
                 throw new ProtocolException("field " + name + " is given twice");
             }
-            at = valueAt + valueSize;
+            position = valueStart + valueLength;
         }
-        return new Content(fields, Arrays.copyOfRange(payload, at, payload.length));
+        return new Content(fields, Arrays.copyOfRange(payload, position, payload.length));
     }
 
-    /** An answer on a stream; stream 0 tells of an error that belongs to no request. */
+    /** Encodes an answer; stream 0 reports an error that belongs to no request. */
     public static byte[] answer(long stream, int code, Map<String, String> fields, byte[] body) {
-        return coded(ANSWER, stream, code, fields, body);
+        return frameWithCode(ANSWER, stream, code, fields, body);
     }
 
-    /** The answer to the question whether this workload manager is ready. */
-    public static byte[] ready(long stream, boolean ready) {
-        return coded(READINESS_ANSWER, stream, ready ? CODE_SERVED : CODE_REFUSED, Map.of(), new byte[0]);
+    /** Encodes the answer to {@link #READINESS_REQUEST}. */
+    public static byte[] readinessAnswer(long stream, boolean ready) {
+        return frameWithCode(READINESS_ANSWER, stream, ready ? CODE_SERVED : CODE_REFUSED, Map.of(), new byte[0]);
     }
 
-    /** Tells the client to ask no more on this connection. */
+    /** Encodes the frame that tells the client to send no more requests on this connection. */
     public static byte[] noMoreRequests() {
         return frame(NO_MORE_REQUESTS, 0, new byte[0]);
     }
 
-    /** A request, as clients write it. */
+    /** Encodes a request. */
     public static byte[] request(long stream, Map<String, String> fields, byte[] body) {
         ByteArrayOutputStream payload = new ByteArrayOutputStream();
         writeFields(payload, fields);
@@ -153,17 +156,17 @@
         return frame(REQUEST, stream, payload.toByteArray());
     }
 
-    /** Any frame. */
+    /** Encodes a frame of any type. */
     public static byte[] frame(int type, long stream, byte[] payload) {
-        ByteArrayOutputStream out = new ByteArrayOutputStream(LENGTH + HEAD + payload.length);
-        writeNumber(out, HEAD + payload.length);
+        ByteArrayOutputStream out = new ByteArrayOutputStream(LENGTH_FIELD_BYTES + HEADER_BYTES + payload.length);
+        writeInt(out, HEADER_BYTES + payload.length);
         out.write(type);
-        writeNumber(out, stream);
+        writeInt(out, stream);
         out.writeBytes(payload);
         return out.toByteArray();
     }
 
-    private static byte[] coded(int type, long stream, int code, Map<String, String> fields, byte[] body) {
+    private static byte[] frameWithCode(int type, long stream, int code, Map<String, String> fields, byte[] body) {
         ByteArrayOutputStream payload = new ByteArrayOutputStream(body.length + 2);
         payload.write(code);
         writeFields(payload, fields);
@@ -184,7 +187,7 @@
         });
     }
 
-    private static void writeNumber(ByteArrayOutputStream out, long value) {
+    private static void writeInt(ByteArrayOutputStream out, long value) {
         for (int shift = 24; shift >= 0; shift -= 8) {
             out.write((int) (value >> shift));
         }
--- a/src/main/java/cairnline/protocol/EngineMessage.java
+++ b/src/main/java/cairnline/protocol/EngineMessage.java
@@ -5,38 +5,38 @@
 import java.util.List;
 import java.util.Map;
 
-/** An engine's answer: {@code ID WORD FIELDS BODY}. */
+/** A message from an engine: {@code ID WORD FIELDS BODY}, where the word gives the kind of message. */
 public record EngineMessage(String id, Kind kind, Map<String, String> fields, byte[] body) {
-    private static final int PARTS_LEAST = 2;
-    private static final int PARTS = 4;
-    private static final int COLUMNS = 3;
-    /** Above all that is counted here, in any unit. */
-    private static final double LARGEST = 1e12;
+    private static final int MIN_PARTS = 2;
+    private static final int PARTS_WITH_BODY = 4;
+    private static final int ROW_COLUMNS = 3;
+    /** Larger than any valid work, memory or load value, whatever its unit. */
+    private static final double MAX_FIELD_VALUE = 1e12;
     private static final double MICROS_PER_MILLI = 1_000;
 
-    /** What an answer says. */
+    /** Kinds of messages. */
     public enum Kind { OK, FULL, ERROR, STALE, STATUS, PAGE, PROBE }
 
-    /** Reads the parts of an answer. */
-    public static EngineMessage of(List<byte[]> parts) {
-        if (parts.size() < PARTS_LEAST) {
-            throw new ProtocolException("an answer needs an id and a word");
+    /** Parses the parts of a message; throws {@link ProtocolException} if they are malformed. */
+    public static EngineMessage parse(List<byte[]> parts) {
+        if (parts.size() < MIN_PARTS) {
+            throw new ProtocolException("message from engine lacks an id or a word");
         }
         Kind kind = kind(text(parts.get(1)));
-        if (parts.size() < PARTS && (kind == Kind.OK || kind == Kind.PAGE)) {
-            throw new ProtocolException("an answer with rows needs a body");
+        if (parts.size() < PARTS_WITH_BODY && (kind == Kind.OK || kind == Kind.PAGE)) {
+            throw new ProtocolException("message from engine lacks a body");
         }
         return new EngineMessage(text(parts.get(0)), kind, parts.size() > 2 ? Resp.fields(text(parts.get(2))) : Map.of(),
                 parts.size() > 3 ? parts.get(3) : new byte[0]);
     }
 
-    /** Whether these are whole rows, as a page holds them: three columns with tabs between and a line feed each. */
+    /** Returns whether these are complete rows: each has three columns separated by tabs and ends with a line feed. */
     public static boolean isRows(byte[] page) {
         int tabs = 0;
         for (byte b : page) {
             if (b == '\t') {
                 tabs++;
-            } else if (b == '\n' && tabs == COLUMNS - 1) {
+            } else if (b == '\n' && tabs == ROW_COLUMNS - 1) {
                 tabs = 0;
             } else if (b == '\n' || b == 0) {
                 return false;
@@ -54,50 +54,50 @@
             case "EVENT" -> Kind.STATUS;
             case "BLOCK" -> Kind.PAGE;
             case "READY", "AILING" -> Kind.PROBE;
-            default -> throw new ProtocolException("no engine's word: " + word);
+            default -> throw new ProtocolException("unknown word in message from engine: " + word);
         };
     }
 
-    /** The number of all pages, 1 where none is told. */
-    public int pages() {
+    /** Returns the number of pages of the result, 1 if the field is absent. */
+    public int pageCount() {
         return (int) number("parts", 1);
     }
 
-    /** The number of a further page. */
-    public int page() {
+    /** Returns the index of the page in this message, -1 if the field is absent. */
+    public int pageNumber() {
         return (int) number("part_no", -1);
     }
 
-    /** The work that the query needed, 0 if not told. */
+    /** Returns the work that the query took in microseconds on one core, 0 if the field is absent. */
     public long workMicros() {
         return (long) (number("work", 0) * MICROS_PER_MILLI);
     }
 
-    /** The memory that the query needed, in MB, 0 if not told. */
+    /** Returns the memory that the query used in megabytes, 0 if the field is absent. */
     public double memory() {
         return number("peak", 0);
     }
 
-    /** The name of a note, empty if there is none. */
-    public String note() {
+    /** Returns the name of a status update, empty if the field is absent. */
+    public String statusName() {
         return fields.getOrDefault("remark", "");
     }
 
-    /** The figure of a note. */
-    public double amount() {
+    /** Returns the value of a status update, 0 if the field is absent. */
+    public double statusValue() {
         return number("value", 0);
     }
 
-    /** The engine's load, by the names of its figures. */
-    public Map<String, Double> report() {
-        Map<String, Double> report = new HashMap<>();
+    /** Returns the load that the engine reports, by the names of its values. */
+    public Map<String, Double> loadReport() {
+        Map<String, Double> loadReport = new HashMap<>();
         for (String pair : fields.getOrDefault("report", "").split(";")) {
             int colon = pair.indexOf(':');
             if (colon > 0) {
-                report.put(pair.substring(0, colon), number(pair.substring(colon + 1)));
+                loadReport.put(pair.substring(0, colon), number(pair.substring(colon + 1)));
             }
         }
-        return report;
+        return loadReport;
     }
 
     private double number(String name, double absent) {
@@ -108,13 +108,13 @@
     private static double number(String value) {
         try {
             double number = Double.parseDouble(value);
-            if (number >= 0 && number < LARGEST) {
+            if (number >= 0 && number < MAX_FIELD_VALUE) {
                 return number;
             }
         } catch (NumberFormatException e) {
-            // Told below, with all other values that can't be used.
+            // Reported below, as are values out of range.
         }
-        throw new ProtocolException("an answer's field holds no number: " + value);
+        throw new ProtocolException("field of message from engine is not a valid number: " + value);
     }
 
     private static String text(byte[] part) {
--- a/src/main/java/cairnline/protocol/FeedEvent.java
+++ b/src/main/java/cairnline/protocol/FeedEvent.java
@@ -5,23 +5,29 @@
 import java.util.List;
 import java.util.Map;
 
-/** One numbered event of the control feed; {@code hosts} is null where the list has not changed. */
-public record FeedEvent(long number, boolean whole, List<Host> hosts) {
-    /** The state of an engine, by its word. */
+/**
+ * A numbered event of the control feed.
+ *
+ * @param number sequence number of the event
+ * @param complete whether {@code engines} replaces the engine list instead of updating it
+ * @param engines entries of the engine list; null if the event does not change it
+ */
+public record FeedEvent(long number, boolean complete, List<EngineEntry> engines) {
+    /** State of an engine as the feed reports it. */
     public enum State { IN_SERVICE, TERMINATING, TERMINATED }
 
-    /** A list entry as the feed words it. */
-    public record Host(String id, String address, String zone, String kind, int cell, State state, double weight,
-                       long bornMs) { }
+    /** An entry of the engine list as the feed reports it; start time in Unix milliseconds, 0 if unknown. */
+    public record EngineEntry(String id, String address, String zone, String kind, int cell, State state, double weight,
+                       long startedAtMillis) { }
 
-    /** Reads a line of the feed: an event; null for a line with only the last number, which changes nothing. */
-    public static FeedEvent line(byte[] line) {
+    /** Parses a line of the feed; returns null for a line with only the last event number, which changes nothing. */
+    public static FeedEvent parseLine(byte[] line) {
         Object value = Json.read(line);
-        return value instanceof Number ? null : of(value);
+        return value instanceof Number ? null : parse(value);
     }
 
-    /** Reads an event. */
-    public static FeedEvent of(Object value) {
+    /** Creates an event from parsed JSON; throws {@link ProtocolException} if it is malformed. */
+    public static FeedEvent parse(Object value) {
         Map<String, Object> event = Json.asObject(value, "event");
         long number = (long) Json.number(event, "n", -1);
         Object members = event.get("members");
@@ -29,36 +35,36 @@
             return new FeedEvent(number, false, null);
         }
         Map<String, Object> change = Json.asObject(members, "members");
-        List<Host> hosts = new ArrayList<>();
-        for (Object host : Json.asList(change.get("hosts"), "hosts")) {
-            hosts.add(host(Json.asObject(host, "host")));
+        List<EngineEntry> engines = new ArrayList<>();
+        for (Object entry : Json.asList(change.get("hosts"), "hosts")) {
+            engines.add(entry(Json.asObject(entry, "host")));
         }
-        return new FeedEvent(number, Boolean.TRUE.equals(change.get("whole")), hosts);
+        return new FeedEvent(number, Boolean.TRUE.equals(change.get("whole")), engines);
     }
 
-    /** What the list is after these events, as one that tells all of it; engines that have ended are not in it. */
-    public static FeedEvent standing(long number, List<FeedEvent> events) {
-        Map<String, Host> standing = new LinkedHashMap<>();
+    /** Returns the engine list after these events as one complete event, without terminated engines. */
+    public static FeedEvent currentList(long number, List<FeedEvent> events) {
+        Map<String, EngineEntry> currentList = new LinkedHashMap<>();
         for (FeedEvent event : events) {
-            if (event.hosts != null && event.whole) {
-                standing.clear();
+            if (event.engines != null && event.complete) {
+                currentList.clear();
             }
-            for (Host host : event.hosts == null ? List.<Host>of() : event.hosts) {
-                if (host.state == State.TERMINATED) {
-                    standing.remove(host.id);
+            for (EngineEntry entry : event.engines == null ? List.<EngineEntry>of() : event.engines) {
+                if (entry.state == State.TERMINATED) {
+                    currentList.remove(entry.id);
                 } else {
-                    standing.put(host.id, host);
+                    currentList.put(entry.id, entry);
                 }
             }
         }
-        return new FeedEvent(number, true, List.copyOf(standing.values()));
+        return new FeedEvent(number, true, List.copyOf(currentList.values()));
     }
 
-    private static Host host(Map<String, Object> host) {
-        return new Host(Json.text(host, "host"), Json.text(host, "dial"), (String) host.getOrDefault("site", ""),
-                (String) host.getOrDefault("class", ""), (int) Json.number(host, "block", 0),
-                state(Json.text(host, "health")), Json.number(host, "share", 1),
-                (long) Json.number(host, "born_ms", 0));
+    private static EngineEntry entry(Map<String, Object> entry) {
+        return new EngineEntry(Json.text(entry, "host"), Json.text(entry, "dial"), (String) entry.getOrDefault("site", ""),
+                (String) entry.getOrDefault("class", ""), (int) Json.number(entry, "block", 0),
+                state(Json.text(entry, "health")), Json.number(entry, "share", 1),
+                (long) Json.number(entry, "born_ms", 0));
     }
 
     private static State state(String word) {
@@ -66,7 +72,7 @@
             case "in_service" -> State.IN_SERVICE;
             case "terminating" -> State.TERMINATING;
             case "terminated" -> State.TERMINATED;
-            default -> throw new ProtocolException("health is unknown: " + word);
+            default -> throw new ProtocolException("unknown value of health: " + word);
         };
     }
 }
--- a/src/main/java/cairnline/protocol/HarFile.java
+++ b/src/main/java/cairnline/protocol/HarFile.java
@@ -13,41 +13,42 @@
 import java.util.List;
 import java.util.Map;
 
-/** The entries of a HAR 1.2 file, one after the other; the rest of each, its answer above all, is passed over. */
+/** Streams the requests of a HAR 1.2 file. All other members of its entries, such as the response, are skipped. */
 public final class HarFile implements Recording {
     private static final JsonFactory FACTORY = new JsonFactory();
 
     private final JsonParser parser;
-    private long number;
+    private long entryNumber;
 
-    /** Reads up to the first entry; throws {@link ProtocolException} if the file is no HAR. */
+    /** Reads up to the first entry; throws {@link ProtocolException} if the input is not a HAR file. */
     public HarFile(InputStream in) throws IOException {
         parser = FACTORY.createParser(in);
         try {
-            require(parser.nextToken() == JsonToken.START_OBJECT, "it is no object");
-            enter("log", JsonToken.START_OBJECT);
-            enter("entries", JsonToken.START_ARRAY);
+            require(parser.nextToken() == JsonToken.START_OBJECT, "the root is not an object");
+            advanceInto("log", JsonToken.START_OBJECT);
+            advanceInto("entries", JsonToken.START_ARRAY);
         } catch (JsonParseException e) {
-            throw new ProtocolException("no HAR file: " + e.getOriginalMessage());
+            throw new ProtocolException("not a HAR file: " + e.getOriginalMessage());
         }
     }
 
-    private void enter(String name, JsonToken kind) throws IOException {
+    /** Skips members of the current object up to this one, and enters its value. */
+    private void advanceInto(String name, JsonToken expected) throws IOException {
         while (parser.nextToken() == JsonToken.FIELD_NAME) {
-            boolean found = parser.currentName().equals(name);
+            boolean isMember = parser.currentName().equals(name);
             JsonToken value = parser.nextToken();
-            if (found) {
-                require(value == kind, name + " is not what it should be");
+            if (isMember) {
+                require(value == expected, name + " has the wrong type");
                 return;
             }
             parser.skipChildren();
         }
-        throw new ProtocolException("no HAR file: " + name + " is missing");
+        throw new ProtocolException("not a HAR file: " + name + " is missing");
     }
 
-    private static void require(boolean held, String problem) {
-        if (!held) {
-            throw new ProtocolException("no HAR file: " + problem);
+    private static void require(boolean condition, String problem) {
+        if (!condition) {
+            throw new ProtocolException("not a HAR file: " + problem);
         }
     }
 
@@ -55,11 +56,11 @@
     public RecordedRequest next() throws IOException {
         if (parser.nextToken() != JsonToken.START_OBJECT) {
             if (parser.currentToken() == null) {
-                throw new IOException("the file ends inside its entries");
+                throw new IOException("the file ends within the list of entries");
             }
             return null;
         }
-        number++;
+        entryNumber++;
         String started = null;
         Map<String, Object> request = null;
         while (parser.nextToken() == JsonToken.FIELD_NAME) {
@@ -76,19 +77,19 @@
         if (started == null || request == null) {
             throw new ProtocolException("startedDateTime or request is missing");
         }
-        return entry(started, request);
+        return toRequest(started, request);
     }
 
-    private static RecordedRequest entry(String started, Map<String, Object> request) {
+    private static RecordedRequest toRequest(String started, Map<String, Object> request) {
         Map<String, String> headers = new LinkedHashMap<>();
-        for (Object each : Json.asList(request.getOrDefault("headers", List.of()), "headers")) {
-            Map<String, Object> header = Json.asObject(each, "headers");
+        for (Object value : Json.asList(request.getOrDefault("headers", List.of()), "headers")) {
+            Map<String, Object> header = Json.asObject(value, "headers");
             headers.put(Json.text(header, "name"), Json.text(header, "value"));
         }
         byte[] body = {};
         if (request.get("postData") != null) {
-            Map<String, Object> post = Json.asObject(request.get("postData"), "postData");
-            body = String.valueOf(post.getOrDefault("text", "")).getBytes(StandardCharsets.UTF_8);
+            Map<String, Object> postData = Json.asObject(request.get("postData"), "postData");
+            body = String.valueOf(postData.getOrDefault("text", "")).getBytes(StandardCharsets.UTF_8);
         }
         try {
             return RecordedRequest.of(OffsetDateTime.parse(started).toInstant().toEpochMilli(),
@@ -99,8 +100,8 @@
     }
 
     @Override
-    public String place() {
-        return "entry " + number;
+    public String position() {
+        return "entry " + entryNumber;
     }
 
     @Override
--- a/src/main/java/cairnline/protocol/HttpDecoder.java
+++ b/src/main/java/cairnline/protocol/HttpDecoder.java
@@ -6,67 +6,68 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Reads HTTP/1.1 messages from bytes as they come, with bodies of a told length or in chunks. */
+/** Incremental decoder of HTTP/1.1 messages with a content length or chunked transfer encoding. Not thread-safe. */
 public final class HttpDecoder {
-    private static final int LONGEST_CHUNK_SIZE = 7;
+    private static final int MAX_CHUNK_SIZE_DIGITS = 7;
 
     private final ByteQueue bytes = new ByteQueue();
-    private final int mostHead;
-    private final int mostBody;
-    /** The head that has been read; null before it is whole. */
+    private final int maxHeadBytes;
+    private final int maxBodyBytes;
+    /** The head of the message whose body is being received; null while the head is incomplete. */
     private HttpMessage head;
+    /** Chunks received of the body. */
     private final ByteArrayOutputStream chunks = new ByteArrayOutputStream();
 
-    /** A decoder that takes heads and bodies up to these sizes. */
-    public HttpDecoder(int mostHead, int mostBody) {
-        this.mostHead = mostHead;
-        this.mostBody = mostBody;
+    /** Creates a decoder that rejects larger heads and bodies, with sizes in bytes. */
+    public HttpDecoder(int maxHeadBytes, int maxBodyBytes) {
+        this.maxHeadBytes = maxHeadBytes;
+        this.maxBodyBytes = maxBodyBytes;
     }
 
-    /** Appends what has been read. */
+    /** Appends the first {@code count} bytes of {@code from}. */
     public void feed(byte[] from, int count) {
         bytes.feed(from, 0, count);
     }
 
-    /** Whether a message has begun and not ended. */
+    /** Returns whether an incomplete message has been received. */
     public boolean hasPartialInput() {
         return head != null || bytes.size() > 0;
     }
 
-    /** Bytes of a message that has begun and not ended. */
+    /** Returns the number of buffered bytes of the incomplete message; at least 1 if its head has been parsed. */
     public int bufferedBytes() {
         return bytes.size() + chunks.size() + (head == null ? 0 : 1);
     }
 
-    /** The next whole message; null until it is there. */
+    /** Returns the next complete message, or null if it has not been received completely. */
     public HttpMessage next() {
         if (head == null) {
-            head = head();
+            head = readHead();
         }
         if (head == null) {
             return null;
         }
-        byte[] body = head.header("transfer-encoding").isEmpty() ? sized() : chunked();
+        byte[] body = head.header("transfer-encoding").isEmpty() ? bodyOfContentLength() : chunkedBody();
         if (body == null) {
             return null;
         }
-        HttpMessage whole = head.withBody(body);
+        HttpMessage message = head.withBody(body);
         head = null;
-        return whole;
+        return message;
     }
 
-    private HttpMessage head() {
-        String start = line(0);
-        if (start == null) {
+    private HttpMessage readHead() {
+        String firstLine = readLine(0);
+        if (firstLine == null) {
             return null;
         }
-        int at = lineEnd(0) + 1;
+        int position = lineEnd(0) + 1;
         Map<String, String> headers = new LinkedHashMap<>();
-        for (String line = line(at); line != null; line = line(at)) {
-            at = lineEnd(at) + 1;
+        for (String line = readLine(position); line != null; line = readLine(position)) {
+            position = lineEnd(position) + 1;
             if (line.isEmpty()) {
-                bytes.skip(at);
-                return new HttpMessage(startLine(start), headers, new byte[0]);
+                bytes.skip(position);
+                return new HttpMessage(startLine(firstLine), headers, new byte[0]);
             }
             int colon = line.indexOf(':');
             if (colon < 1 || Character.isWhitespace(line.charAt(colon - 1))) {
@@ -74,8 +75,8 @@
             }
             String name = line.substring(0, colon).toLowerCase(Locale.ROOT);
             String value = line.substring(colon + 1).strip();
-            boolean again = headers.containsKey(name);
-            if (again && name.equals("content-length")) {
+            boolean repeated = headers.containsKey(name);
+            if (repeated && name.equals("content-length")) {
                 throw new ProtocolException("content-length is given twice");
             }
             headers.merge(name, value, (first, second) -> first + ", " + second);
@@ -85,9 +86,9 @@
 
     private static String[] startLine(String line) {
         String[] parts = line.split(" ", 3);
-        boolean request = parts.length == 3 && parts[2].startsWith("HTTP/1.");
-        boolean response = parts.length >= 2 && parts[0].startsWith("HTTP/1.") && parts[1].matches("[1-5][0-9][0-9]");
-        if (!request && !response) {
+        boolean isRequest = parts.length == 3 && parts[2].startsWith("HTTP/1.");
+        boolean isResponse = parts.length >= 2 && parts[0].startsWith("HTTP/1.") && parts[1].matches("[1-5][0-9][0-9]");
+        if (!isRequest && !isResponse) {
             throw new ProtocolException("the first line is not HTTP/1.1's");
         }
         return parts.length == 3 ? parts : new String[] {parts[0], parts[1], ""};
@@ -97,78 +98,78 @@
         return bytes.indexOf('\n', from);
     }
 
-    /** The line that starts here, without its end; null until it is there. */
-    private String line(int from) {
+    /** Returns the line at this offset without its line end, or null if it has not been received completely. */
+    private String readLine(int from) {
         int end = lineEnd(from);
-        if ((end < 0 ? bytes.size() : end) > mostHead) {
-            throw new ProtocolException("the head is longer than " + mostHead + " bytes");
+        if ((end < 0 ? bytes.size() : end) > maxHeadBytes) {
+            throw new ProtocolException("the head is longer than " + maxHeadBytes + " bytes");
         }
         if (end < 0) {
             return null;
         }
-        int stop = end > from && bytes.at(end - 1) == '\r' ? end - 1 : end;
-        byte[] text = new byte[stop - from];
+        int textEnd = end > from && bytes.at(end - 1) == '\r' ? end - 1 : end;
+        byte[] text = new byte[textEnd - from];
         for (int i = 0; i < text.length; i++) {
             text[i] = (byte) bytes.at(from + i);
         }
         return new String(text, StandardCharsets.UTF_8);
     }
 
-    private byte[] sized() {
-        String told = head.header("content-length");
+    private byte[] bodyOfContentLength() {
+        String contentLength = head.header("content-length");
         int size = 0;
-        if (!told.isEmpty()) {
-            if (!told.matches("[0-9]{1,9}")) {
+        if (!contentLength.isEmpty()) {
+            if (!contentLength.matches("[0-9]{1,9}")) {
                 throw new ProtocolException("content-length is not a number");
             }
-            size = Integer.parseInt(told);
+            size = Integer.parseInt(contentLength);
         }
-        if (size > mostBody) {
-            throw new ProtocolException("the body is longer than " + mostBody + " bytes");
+        if (size > maxBodyBytes) {
+            throw new ProtocolException("the body is longer than " + maxBodyBytes + " bytes");
         }
         return bytes.size() < size ? null : bytes.take(size);
     }
 
-    private byte[] chunked() {
+    private byte[] chunkedBody() {
         if (!head.header("transfer-encoding").equalsIgnoreCase("chunked") || !head.header("content-length").isEmpty()) {
             throw new ProtocolException("the body's length is told in a way that is not understood");
         }
         while (true) {
-            String line = line(0);
+            String line = readLine(0);
             if (line == null) {
                 return null;
             }
             String size = line.split(";", 2)[0].strip();
-            if (!size.matches("[0-9a-fA-F]{1," + LONGEST_CHUNK_SIZE + "}")) {
+            if (!size.matches("[0-9a-fA-F]{1," + MAX_CHUNK_SIZE_DIGITS + "}")) {
                 throw new ProtocolException("a chunk's size is not a number");
             }
             int count = Integer.parseInt(size, 16);
-            if (chunks.size() + count > mostBody) {
-                throw new ProtocolException("the body is longer than " + mostBody + " bytes");
+            if (chunks.size() + count > maxBodyBytes) {
+                throw new ProtocolException("the body is longer than " + maxBodyBytes + " bytes");
             }
-            int start = lineEnd(0) + 1;
+            int chunkStart = lineEnd(0) + 1;
             if (count == 0) {
-                return lastChunk(start);
+                return readTrailer(chunkStart);
             }
-            if (bytes.size() < start + count + 2) {
+            if (bytes.size() < chunkStart + count + 2) {
                 return null;
             }
-            bytes.skip(start);
+            bytes.skip(chunkStart);
             chunks.writeBytes(bytes.take(count));
-            if (!"".equals(line(0))) {
+            if (!"".equals(readLine(0))) {
                 throw new ProtocolException("a chunk does not end where it says");
             }
             bytes.skip(lineEnd(0) + 1);
         }
     }
 
-    /** Passes over the trailer; gives the whole body once that is there. */
-    private byte[] lastChunk(int start) {
-        int at = start;
-        for (String line = line(at); line != null; line = line(at)) {
-            at = lineEnd(at) + 1;
+    /** Skips the trailer and returns the complete body, or null if the trailer has not been received completely. */
+    private byte[] readTrailer(int trailerStart) {
+        int position = trailerStart;
+        for (String line = readLine(position); line != null; line = readLine(position)) {
+            position = lineEnd(position) + 1;
             if (line.isEmpty()) {
-                bytes.skip(at);
+                bytes.skip(position);
                 byte[] body = chunks.toByteArray();
                 chunks.reset();
                 return body;
--- a/src/main/java/cairnline/protocol/HttpMessage.java
+++ b/src/main/java/cairnline/protocol/HttpMessage.java
@@ -7,108 +7,115 @@
 import java.util.Map;
 
 /**
- * An HTTP/1.1 message. {@code start} holds the three parts of its first line; header names are in lower case, and
- * those of a field given more than once are joined as HTTP allows.
+ * An HTTP/1.1 message.
+ *
+ * @param startLine the three parts of the request line or status line
+ * @param headers values by lower-case name; values of a repeated header are joined by commas
+ * @param body the decoded body, empty if there is none
  */
-public record HttpMessage(String[] start, Map<String, String> headers, byte[] body) {
-    private static final byte[] NO_BODY = {};
+public record HttpMessage(String[] startLine, Map<String, String> headers, byte[] body) {
+    private static final byte[] EMPTY_BODY = {};
     private static final int STATUS_NO_CONTENT = 204;
 
-    /** Rejects what would not stay within its line: a batch or a recording can put any text into these. */
+    /**
+     * Rejects parts that could inject further lines or headers, since batches and recordings can contain any text; throws
+     * {@link ProtocolException}.
+     */
     public HttpMessage {
-        boolean lines = start[0].chars().noneMatch(HttpMessage::breaks) && start[1].chars().noneMatch(HttpMessage::breaks)
-                && start[2].chars().noneMatch(Character::isISOControl)
+        boolean valid = startLine[0].chars().noneMatch(HttpMessage::isSpaceOrControl)
+                && startLine[1].chars().noneMatch(HttpMessage::isSpaceOrControl)
+                && startLine[2].chars().noneMatch(Character::isISOControl)
                 && headers.entrySet().stream().noneMatch(h -> h.getKey().isEmpty()
-                        || h.getKey().chars().anyMatch(c -> breaks(c) || c == ':')
+                        || h.getKey().chars().anyMatch(c -> isSpaceOrControl(c) || c == ':')
                         || h.getValue().chars().anyMatch(c -> c != '\t' && Character.isISOControl(c)));
-        if (!lines) {
+        if (!valid) {
             throw new ProtocolException("a first line or a header holds a character that it must not hold");
         }
     }
 
-    private static boolean breaks(int c) {
+    private static boolean isSpaceOrControl(int c) {
         return c == ' ' || Character.isISOControl(c);
     }
 
-    /** A request. */
+    /** Creates a request. */
     public static HttpMessage request(String method, String target, Map<String, String> headers, byte[] body) {
         return new HttpMessage(new String[] {method, target, "HTTP/1.1"}, headers, body);
     }
 
-    /** A response. */
+    /** Creates a response. */
     public static HttpMessage response(int status, Map<String, String> headers, byte[] body) {
-        return new HttpMessage(new String[] {"HTTP/1.1", Integer.toString(status), reason(status)}, headers, body);
+        return new HttpMessage(new String[] {"HTTP/1.1", Integer.toString(status), reasonPhrase(status)}, headers, body);
     }
 
-    /** A response with text in it. */
+    /** Creates a response with this content type. */
     public static HttpMessage response(int status, String type, byte[] body) {
         Map<String, String> headers = new LinkedHashMap<>();
         headers.put("content-type", type);
         return response(status, headers, body);
     }
 
-    /** The method of a request. */
+    /** Returns the method of a request. */
     public String method() {
-        return start[0];
+        return startLine[0];
     }
 
-    /** The target of a request. */
+    /** Returns the target of a request. */
     public String target() {
-        return start[1];
+        return startLine[1];
     }
 
-    /** The status of a response. */
+    /** Returns the status of a response. */
     public int status() {
-        return Integer.parseInt(start[1]);
+        return Integer.parseInt(startLine[1]);
     }
 
-    /** A header; empty if absent. */
+    /** Returns the value of a header, or an empty string if it is absent. */
     public String header(String name) {
         return headers.getOrDefault(name.toLowerCase(Locale.ROOT), "");
     }
 
-    /** Whether the sender closes the connection after this message. */
-    public boolean closes() {
+    /** Returns whether the sender closes the connection after this message. */
+    public boolean closesConnection() {
         String connection = header("connection").toLowerCase(Locale.ROOT);
-        boolean old = start[0].equals("HTTP/1.0") || start[2].equals("HTTP/1.0");
-        return connection.contains("close") || old && !connection.contains("keep-alive");
+        boolean isHttp10 = startLine[0].equals("HTTP/1.0") || startLine[2].equals("HTTP/1.0");
+        return connection.contains("close") || isHttp10 && !connection.contains("keep-alive");
     }
 
-    /** The same message with one more header. */
-    public HttpMessage with(String name, String value) {
-        Map<String, String> more = new LinkedHashMap<>(headers);
-        more.put(name.toLowerCase(Locale.ROOT), value);
-        return new HttpMessage(start, more, body);
+    /** Returns a copy with this header added or replaced. */
+    public HttpMessage withHeader(String name, String value) {
+        Map<String, String> extended = new LinkedHashMap<>(headers);
+        extended.put(name.toLowerCase(Locale.ROOT), value);
+        return new HttpMessage(startLine, extended, body);
     }
 
-    /** The same message with this body instead. */
+    /** Returns a copy with this body. */
     public HttpMessage withBody(byte[] other) {
-        return new HttpMessage(start, headers, other);
+        return new HttpMessage(startLine, headers, other);
     }
 
-    /** All of it, the length of its body told. */
-    public byte[] bytes() {
+    /** Encodes the message with a content length instead of chunks. */
+    public byte[] encode() {
         StringBuilder head = new StringBuilder();
-        head.append(start[0]).append(' ').append(start[1]).append(' ').append(start[2]).append("\r\n");
+        head.append(startLine[0]).append(' ').append(startLine[1]).append(' ').append(startLine[2]).append("\r\n");
         headers.forEach((name, value) -> {
             if (!name.equals("content-length") && !name.equals("transfer-encoding")) {
                 head.append(name).append(": ").append(value).append("\r\n");
             }
         });
-        boolean request = start[2].startsWith("HTTP/");
-        boolean bodiless = request ? body.length == 0 && !start[0].equals("POST") : status() == STATUS_NO_CONTENT;
-        if (!bodiless) {
+        boolean isRequest = startLine[2].startsWith("HTTP/");
+        boolean hasNoBody = isRequest ? body.length == 0 && !startLine[0].equals("POST") : status() == STATUS_NO_CONTENT;
+        if (!hasNoBody) {
             head.append("content-length: ").append(body.length).append("\r\n");
         }
         head.append("\r\n");
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         out.writeBytes(head.toString().getBytes(StandardCharsets.UTF_8));
-        out.writeBytes(bodiless ? NO_BODY : body);
+        out.writeBytes(hasNoBody ? EMPTY_BODY : body);
         return out.toByteArray();
     }
 
-    /** Reads a whole message from bytes that hold nothing else. */
-    public static HttpMessage of(byte[] bytes) {
+    /** Parses a complete message; throws {@link ProtocolException} if it is incomplete or malformed. */
+    public static HttpMessage parse(byte[] bytes) {
         HttpDecoder decoder = new HttpDecoder(bytes.length, bytes.length);
         decoder.feed(bytes, bytes.length);
         HttpMessage message = decoder.next();
@@ -118,8 +125,8 @@
         return message;
     }
 
-    /** The words that go with a status. */
-    public static String reason(int status) {
+    /** Returns the reason phrase of a status code. */
+    public static String reasonPhrase(int status) {
         return switch (status) {
             case 200 -> "OK";
             case 201 -> "Created";
--- a/src/main/java/cairnline/protocol/Json.java
+++ b/src/main/java/cairnline/protocol/Json.java
@@ -15,16 +15,16 @@
 import java.util.List;
 import java.util.Map;
 
-/** JSON as maps, lists, text, numbers ({@link BigDecimal}), booleans and null. */
+/** Reads and writes JSON as maps, lists, strings, numbers ({@link BigDecimal}), booleans and null. */
 public final class Json {
-    private static final int DEEPEST = 64;
+    private static final int MAX_NESTING_DEPTH = 64;
     private static final JsonFactory FACTORY = JsonFactory.builder()
-            .streamReadConstraints(StreamReadConstraints.builder().maxNestingDepth(DEEPEST).build())
+            .streamReadConstraints(StreamReadConstraints.builder().maxNestingDepth(MAX_NESTING_DEPTH).build())
             .build();
 
     private Json() { }
 
-    /** Reads one value and nothing after it. */
+    /** Parses one value; throws {@link ProtocolException} if the input is malformed or continues after it. */
     public static Object read(byte[] bytes) {
         try (JsonParser parser = FACTORY.createParser(bytes)) {
             parser.nextToken();
@@ -40,12 +40,12 @@
         }
     }
 
-    /** Reads one object. */
+    /** Parses one object; throws {@link ProtocolException} for any other value. */
     public static Map<String, Object> object(byte[] bytes) {
         return asObject(read(bytes), "JSON");
     }
 
-    /** This value as an object. */
+    /** Returns the value as an object; throws {@link ProtocolException} with this name if it is not one. */
     @SuppressWarnings("unchecked")
     public static Map<String, Object> asObject(Object value, String name) {
         if (value instanceof Map<?, ?>) {
@@ -54,7 +54,7 @@
         throw new ProtocolException(name + " is not an object");
     }
 
-    /** This value as a list. */
+    /** Returns the value as a list; throws {@link ProtocolException} with this name if it is not one. */
     @SuppressWarnings("unchecked")
     public static List<Object> asList(Object value, String name) {
         if (value instanceof List<?>) {
@@ -63,7 +63,7 @@
         throw new ProtocolException(name + " is not a list");
     }
 
-    /** A text member. */
+    /** Returns a string member; throws {@link ProtocolException} if it is absent or not a string. */
     public static String text(Map<String, Object> object, String name) {
         if (object.get(name) instanceof String text) {
             return text;
@@ -71,11 +71,11 @@
         throw new ProtocolException(name + " is not text");
     }
 
-    /** A number member, or what stands for its absence. */
-    public static double number(Map<String, Object> object, String name, double absent) {
+    /** Returns a number member, or the default if it is absent or null; throws {@link ProtocolException} for other types. */
+    public static double number(Map<String, Object> object, String name, double defaultValue) {
         Object value = object.get(name);
         if (value == null) {
-            return absent;
+            return defaultValue;
         }
         if (value instanceof BigDecimal number) {
             return number.doubleValue();
@@ -83,7 +83,7 @@
         throw new ProtocolException(name + " is not a number");
     }
 
-    /** Writes a value of the kinds that are read. */
+    /** Encodes a value of the types that {@link #read} returns; any other type is written as its string. */
     public static byte[] write(Object value) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         try (JsonGenerator generator = FACTORY.createGenerator(out)) {
@@ -94,6 +94,7 @@
         return out.toByteArray();
     }
 
+    /** Reads the value at the current token of the parser. */
     static Object value(JsonParser parser) throws IOException {
         JsonToken token = parser.currentToken();
         if (token == null) {
--- a/src/main/java/cairnline/protocol/ODataBatch.java
+++ b/src/main/java/cairnline/protocol/ODataBatch.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The requests of a {@code $batch}, in JSON or multipart, and the writing of its answers in the same form. */
+/** A parsed OData {@code $batch} request in JSON or multipart format, and the encoder of its response in the same format. */
 public final class ODataBatch {
     private static final String BOUNDARY = "batchresponse_cairnline";
 
@@ -25,15 +25,15 @@
         this.continueOnError = continueOnError;
     }
 
-    /** One request; {@code group} is its atomicity group, null without; {@code dependsOn} names earlier ones. */
+    /** A request of the batch; {@code group} is its atomicity group or null, {@code dependsOn} holds ids of earlier requests. */
     public record Item(String id, String group, List<String> dependsOn, HttpMessage request) { }
 
-    /** Reads a batch of so many requests at most. */
-    public static ODataBatch read(HttpMessage http, int most) {
+    /** Parses a batch; throws {@link ODataException} if it is malformed or has more than {@code maxRequests} requests. */
+    public static ODataBatch read(HttpMessage http, int maxRequests) {
         String type = http.header("content-type");
-        String plain = type.toLowerCase(Locale.ROOT);
-        boolean json = plain.startsWith("application/json");
-        if (!json && !plain.startsWith("multipart/mixed")) {
+        String lowerCase = type.toLowerCase(Locale.ROOT);
+        boolean json = lowerCase.startsWith("application/json");
+        if (!json && !lowerCase.startsWith("multipart/mixed")) {
             throw new ODataException(415, "a batch is JSON or multipart/mixed");
         }
         List<Item> items = new ArrayList<>();
@@ -46,56 +46,56 @@
         } catch (ProtocolException e) {
             throw new ODataException(400, "the batch can't be read: " + e.getMessage());
         }
-        if (items.size() > most) {
-            throw new ODataException(413, "the batch holds more than " + most + " requests");
+        if (items.size() > maxRequests) {
+            throw new ODataException(413, "the batch holds more than " + maxRequests + " requests");
         }
         for (Item item : items) {
-            if (path(item.request().target()).startsWith("/$batch")) {
+            if (pathOf(item.request().target()).startsWith("/$batch")) {
                 throw new ODataException(400, "a batch can't hold a batch");
             }
         }
-        return new ODataBatch(items, json, continues(http.header("prefer")));
+        return new ODataBatch(items, json, prefersContinueOnError(http.header("prefer")));
     }
 
-    /** The requests, in their order. */
+    /** Returns the requests in the order of the batch. */
     public List<Item> items() {
         return items;
     }
 
-    /** Whether what follows an error is still served. */
+    /** Returns whether the client prefers that requests after a failed one are still processed. */
     public boolean continueOnError() {
         return continueOnError;
     }
 
-    /** Whether each request waits for the one before: so in multipart, while JSON says what depends on what. */
+    /** Returns whether requests run one after another. Multipart batches do; JSON batches list dependencies instead. */
     public boolean sequential() {
         return !json;
     }
 
-    /** The groups of more than one request: they would have to happen together or not at all. */
+    /** Returns the atomicity groups of more than one request, which would have to be executed atomically. */
     public Set<String> multiRequestGroups() {
-        Set<String> seen = new HashSet<>();
-        Set<String> many = new HashSet<>();
+        Set<String> knownGroups = new HashSet<>();
+        Set<String> multiRequestGroups = new HashSet<>();
         for (Item item : items) {
-            if (item.group() != null && !seen.add(item.group())) {
-                many.add(item.group());
+            if (item.group() != null && !knownGroups.add(item.group())) {
+                multiRequestGroups.add(item.group());
             }
         }
-        return many;
+        return multiRequestGroups;
     }
 
-    /** The answer that holds these answers, one for each request; null for a request that was not processed. */
+    /** Encodes the response of the batch from one answer for each request; null marks a request that was not processed. */
     public HttpMessage answer(List<HttpMessage> answers) {
         return json ? jsonAnswer(answers) : multipartAnswer(answers);
     }
 
-    private static boolean continues(String prefer) {
-        String plain = prefer.toLowerCase(Locale.ROOT).replace("odata.", "");
-        return plain.contains("continue-on-error") && !plain.contains("continue-on-error=false");
+    private static boolean prefersContinueOnError(String prefer) {
+        String lowerCase = prefer.toLowerCase(Locale.ROOT).replace("odata.", "");
+        return lowerCase.contains("continue-on-error") && !lowerCase.contains("continue-on-error=false");
     }
 
-    /** A target without scheme and host, from the service's root. */
-    private static String path(String url) {
+    /** Returns the target of a URL without scheme and host, relative to the service root. */
+    private static String pathOf(String url) {
         String path = url.replaceFirst("^https?://[^/]*", "");
         return path.startsWith("/") ? path : "/" + path;
     }
@@ -103,35 +103,35 @@
     // ---- JSON ----
 
     private static void jsonItems(byte[] body, List<Item> items) {
-        Set<String> seen = new HashSet<>();
-        for (Object each : Json.asList(Json.object(body).get("requests"), "requests")) {
-            Map<String, Object> request = Json.asObject(each, "request");
+        Set<String> knownIds = new HashSet<>();
+        for (Object element : Json.asList(Json.object(body).get("requests"), "requests")) {
+            Map<String, Object> request = Json.asObject(element, "request");
             String id = Json.text(request, "id");
             String group = request.containsKey("atomicityGroup") ? Json.text(request, "atomicityGroup") : null;
             List<String> dependsOn = new ArrayList<>();
-            for (Object on : Json.asList(request.getOrDefault("dependsOn", List.of()), "dependsOn")) {
-                if (!seen.contains(String.valueOf(on))) {
-                    throw new ProtocolException("dependsOn names no earlier request: " + on);
+            for (Object dependency : Json.asList(request.getOrDefault("dependsOn", List.of()), "dependsOn")) {
+                if (!knownIds.contains(String.valueOf(dependency))) {
+                    throw new ProtocolException("dependsOn names no earlier request: " + dependency);
                 }
-                dependsOn.add(String.valueOf(on));
+                dependsOn.add(String.valueOf(dependency));
             }
-            if (!seen.add(id)) {
+            if (!knownIds.add(id)) {
                 throw new ProtocolException("id is given twice: " + id);
             }
             if (group != null) {
-                seen.add(group);
+                knownIds.add(group);
             }
             Map<String, String> headers = new LinkedHashMap<>();
             Json.asObject(request.getOrDefault("headers", Map.of()), "headers").forEach((name, value) ->
                     headers.put(name.toLowerCase(Locale.ROOT), String.valueOf(value)));
-            Object held = request.get("body");
-            byte[] bytes = held == null ? new byte[0] : held instanceof String text
-                    ? text.getBytes(StandardCharsets.UTF_8) : Json.write(held);
-            if (held != null) {
+            Object bodyValue = request.get("body");
+            byte[] bytes = bodyValue == null ? new byte[0] : bodyValue instanceof String text
+                    ? text.getBytes(StandardCharsets.UTF_8) : Json.write(bodyValue);
+            if (bodyValue != null) {
                 headers.putIfAbsent("content-type", "application/json");
             }
             items.add(new Item(id, group, dependsOn, HttpMessage.request(
-                    Json.text(request, "method").toUpperCase(Locale.ROOT), path(Json.text(request, "url")), headers,
+                    Json.text(request, "method").toUpperCase(Locale.ROOT), pathOf(Json.text(request, "url")), headers,
                     bytes)));
         }
     }
@@ -165,8 +165,8 @@
     // ---- Multipart ----
 
     private static String boundary(String type) {
-        int at = type.toLowerCase(Locale.ROOT).indexOf("boundary=");
-        String value = at < 0 ? "" : type.substring(at + "boundary=".length()).split(";", 2)[0].strip();
+        int position = type.toLowerCase(Locale.ROOT).indexOf("boundary=");
+        String value = position < 0 ? "" : type.substring(position + "boundary=".length()).split(";", 2)[0].strip();
         value = value.startsWith("\"") && value.endsWith("\"") && value.length() > 1
                 ? value.substring(1, value.length() - 1) : value;
         if (value.isEmpty()) {
@@ -196,12 +196,13 @@
             throw new ProtocolException("a part is not application/http");
         }
         byte[] body = partBody(part);
-        HttpMessage told = embedded(body);
-        HttpMessage request = HttpMessage.request(told.method(), path(told.target()), told.headers(), told.body());
+        HttpMessage received = embedded(body);
+        HttpMessage request = HttpMessage.request(received.method(), pathOf(received.target()), received.headers(),
+                received.body());
         return new Item(headers.getOrDefault("content-id", Integer.toString(number + 1)), group, List.of(), request);
     }
 
-    /** A request inside a part may leave out the length of its body: the part's end is the body's. */
+    /** Parses the request of a part. It may omit the length of its body, which then ends with the part. */
     private static HttpMessage embedded(byte[] bytes) {
         int end = headEnd(bytes);
         if (end < 0) {
@@ -229,27 +230,28 @@
         return both;
     }
 
-    /** The bytes between the boundary lines, each without the line end that belongs to the boundary. */
+    /** Splits a multipart body at its boundary lines; the line break before a boundary belongs to the boundary. */
     private static List<byte[]> parts(byte[] body, String boundary) {
         String text = new String(body, StandardCharsets.ISO_8859_1);
-        String mark = "--" + boundary;
+        String delimiter = "--" + boundary;
         List<byte[]> parts = new ArrayList<>();
         int start = -1;
-        for (int at = text.indexOf(mark); at >= 0; at = text.indexOf(mark, at + mark.length())) {
-            boolean lineStart = at == 0 || text.charAt(at - 1) == '\n';
-            int after = at + mark.length();
-            boolean ends = text.startsWith("--", after);
-            if (!lineStart || !ends && after < text.length() && "\r\n \t".indexOf(text.charAt(after)) < 0) {
+        for (int position = text.indexOf(delimiter); position >= 0;
+                position = text.indexOf(delimiter, position + delimiter.length())) {
+            boolean lineStart = position == 0 || text.charAt(position - 1) == '\n';
+            int delimiterEnd = position + delimiter.length();
+            boolean isClosing = text.startsWith("--", delimiterEnd);
+            if (!lineStart || !isClosing && delimiterEnd < text.length() && "\r\n \t".indexOf(text.charAt(delimiterEnd)) < 0) {
                 continue;
             }
             if (start >= 0) {
-                int stop = at - (at > start + 1 && text.charAt(at - 2) == '\r' ? 2 : 1);
-                parts.add(Arrays.copyOfRange(body, start, Math.max(start, stop)));
+                int partEnd = position - (position > start + 1 && text.charAt(position - 2) == '\r' ? 2 : 1);
+                parts.add(Arrays.copyOfRange(body, start, Math.max(start, partEnd)));
             }
-            if (ends) {
+            if (isClosing) {
                 return parts;
             }
-            start = text.indexOf('\n', after) + 1;
+            start = text.indexOf('\n', delimiterEnd) + 1;
             if (start == 0) {
                 break;
             }
--- a/src/main/java/cairnline/protocol/ODataException.java
+++ b/src/main/java/cairnline/protocol/ODataException.java
@@ -1,17 +1,17 @@
 package cairnline.protocol;
 
-/** A request that OData can't serve, with the status that says why. */
+/** Thrown for an OData request that is rejected with an HTTP error status. */
 public final class ODataException extends RuntimeException {
     private static final long serialVersionUID = 1L;
     private final int status;
 
-    /** Names what is wrong. */
+    /** Creates an exception without stack trace; the message is sent to the client. */
     public ODataException(int status, String problem) {
         super(problem, null, false, false);
         this.status = status;
     }
 
-    /** The HTTP status. */
+    /** Returns the HTTP status of the response. */
     public int status() {
         return status;
     }
--- a/src/main/java/cairnline/protocol/ODataModel.java
+++ b/src/main/java/cairnline/protocol/ODataModel.java
@@ -6,20 +6,26 @@
 import java.util.List;
 import java.util.Map;
 
-/** The entity sets that are served, and the documents that describe them. */
+/** The entity sets that the OData front serves, by name, and the service and metadata documents that describe them. */
 public record ODataModel(Map<String, EntitySet> sets) {
-    /** The type of the service document and of all answers. */
+    /** Content type of the service document and of error responses. */
     public static final String JSON = "application/json;odata.metadata=minimal";
     private static final String NAMESPACE = "Cairnline";
 
     /**
-     * An entity set: the classes of its reads, of its aggregations ({@code $apply}) and of its writes, null where there
-     * are none; its key and the key's type; its group of tables, -1 if unknown.
+     * An entity set.
+     *
+     * @param readClass request class of reads; null if reads are not served
+     * @param aggregateClass request class of reads with {@code $apply}; null if they use {@code readClass}
+     * @param writeClass request class of writes; null if writes are not served
+     * @param key name of the key property
+     * @param keyType EDM type of the key property
+     * @param tableGroup group of tables that hold the set; -1 if unknown
      */
-    public record EntitySet(String name, String read, String aggregate, String write, String key, String keyType,
-                            int tables) { }
+    public record EntitySet(String name, String readClass, String aggregateClass, String writeClass, String key, String keyType,
+                            int tableGroup) { }
 
-    /** The service document. */
+    /** Encodes the service document. */
     public byte[] serviceDocument() {
         List<Object> list = new ArrayList<>();
         for (String name : sets.keySet()) {
@@ -35,7 +41,7 @@
         return Json.write(document);
     }
 
-    /** The metadata as CSDL in XML; the types are open, since only the engines know their other properties. */
+    /** Encodes the metadata as CSDL XML. Entity types are open, since only the engines know the properties beside the key. */
     public byte[] metadataXml() {
         StringBuilder xml = new StringBuilder("<?xml version=\"1.0\" encoding=\"UTF-8\"?>\n"
                 + "<edmx:Edmx xmlns:edmx=\"http://docs.oasis-open.org/odata/ns/edmx\" Version=\"4.01\">"
@@ -55,7 +61,7 @@
         return xml.toString().getBytes(StandardCharsets.UTF_8);
     }
 
-    /** The metadata as CSDL in JSON. */
+    /** Encodes the metadata as CSDL JSON. */
     public byte[] metadataJson() {
         Map<String, Object> schema = new LinkedHashMap<>();
         Map<String, Object> container = new LinkedHashMap<>();
@@ -80,10 +86,10 @@
         return Json.write(document);
     }
 
-    /** A standard error body. */
+    /** Creates an error response in the format of OData. */
     public static HttpMessage error(int status, String problem) {
         Map<String, Object> error = new LinkedHashMap<>();
-        error.put("code", HttpMessage.reason(status).replace(" ", ""));
+        error.put("code", HttpMessage.reasonPhrase(status).replace(" ", ""));
         error.put("message", problem);
         return HttpMessage.response(status, JSON, Json.write(Map.of("error", error)));
     }
--- a/src/main/java/cairnline/protocol/ODataPages.java
+++ b/src/main/java/cairnline/protocol/ODataPages.java
@@ -6,21 +6,21 @@
 import java.util.List;
 import java.util.Map;
 
-/** The pages of one collection, joined: a client gets all rows in one answer, or none. */
+/** Joins the pages of an OData collection, so that a client receives either all rows in one response or none. */
 public final class ODataPages {
-    private static final String NEXT = "@odata.nextLink";
-    private static final String NEXT_SHORT = "@nextLink";
+    private static final String NEXT_LINK = "@odata.nextLink";
+    private static final String NEXT_LINK_SHORT = "@nextLink";
 
     private HttpMessage first;
     private Map<String, Object> joined;
     private List<Object> rows;
 
-    /** Takes a page; gives the target of the next, null after the last. */
-    public String take(HttpMessage page) {
+    /** Adds a page and returns the request target of the next page, or null if this is the last one. */
+    public String addPage(HttpMessage page) {
         if (first != null) {
-            Map<String, Object> more = Json.object(page.body());
-            rows.addAll(Json.asList(more.get("value"), "value"));
-            return next(more);
+            Map<String, Object> nextPage = Json.object(page.body());
+            rows.addAll(Json.asList(nextPage.get("value"), "value"));
+            return nextTarget(nextPage);
         }
         first = page;
         boolean paged = page.header("content-type").startsWith("application/json")
@@ -28,25 +28,25 @@
         if (!paged) {
             return null;
         }
-        Map<String, Object> whole = Json.object(page.body());
-        String next = next(whole);
-        if (next != null) {
-            joined = new LinkedHashMap<>(whole);
-            joined.remove(NEXT);
-            joined.remove(NEXT_SHORT);
-            rows = new ArrayList<>(Json.asList(whole.get("value"), "value"));
+        Map<String, Object> root = Json.object(page.body());
+        String nextTarget = nextTarget(root);
+        if (nextTarget != null) {
+            joined = new LinkedHashMap<>(root);
+            joined.remove(NEXT_LINK);
+            joined.remove(NEXT_LINK_SHORT);
+            rows = new ArrayList<>(Json.asList(root.get("value"), "value"));
             joined.put("value", rows);
         }
-        return next;
+        return nextTarget;
     }
 
-    /** The answer with the rows of all pages; one that came in a single page is unchanged to the byte. */
-    public HttpMessage whole() {
+    /** Returns the response with the rows of all pages; a response of a single page is returned byte for byte. */
+    public HttpMessage join() {
         return joined == null ? first : first.withBody(Json.write(joined));
     }
 
-    private static String next(Map<String, Object> page) {
-        Object next = page.containsKey(NEXT) ? page.get(NEXT) : page.get(NEXT_SHORT);
+    private static String nextTarget(Map<String, Object> page) {
+        Object next = page.containsKey(NEXT_LINK) ? page.get(NEXT_LINK) : page.get(NEXT_LINK_SHORT);
         if (next == null) {
             return null;
         }
--- a/src/main/java/cairnline/protocol/ODataRequest.java
+++ b/src/main/java/cairnline/protocol/ODataRequest.java
@@ -12,43 +12,53 @@
 import java.util.regex.Pattern;
 
 /**
- * What an OData request asks of the engines, checked. {@code order} names what its writes keep their order for: one
- * entity, or the whole set where the request names none; {@code entity} is true for the former. {@code waitMs} is how
- * long its client said that it waits, 0 if it did not. {@code passed} is the request as the engine gets it.
+ * A validated OData request to an entity set.
+ *
+ * @param set the entity set
+ * @param write whether the request changes data
+ * @param type name of the request class
+ * @param orderingKey the entity whose writes run one at a time, or the set if the request names no entity
+ * @param singleEntity whether {@code orderingKey} is an entity
+ * @param idempotencyKey key by which engines drop repeats of a write; null for a read
+ * @param waitMs how long the client waits, in milliseconds, from its {@code wait} preference; 0 if it has none
+ * @param forwarded the request as it is sent to the engine
  */
-public record ODataRequest(EntitySet set, boolean write, String type, String order, boolean entity, String idempotencyKey,
-                           long waitMs, HttpMessage passed) {
-    private static final Set<String> WRITES = Set.of("POST", "PUT", "PATCH", "DELETE");
-    private static final Set<String> PASSED = Set.of("accept", "content-type", "prefer", "if-match", "if-none-match",
+public record ODataRequest(EntitySet set, boolean write, String type, String orderingKey, boolean singleEntity,
+                           String idempotencyKey, long waitMs, HttpMessage forwarded) {
+    private static final Set<String> WRITE_METHODS = Set.of("POST", "PUT", "PATCH", "DELETE");
+    private static final Set<String> FORWARDED_HEADERS = Set.of("accept", "content-type", "prefer", "if-match", "if-none-match",
             "odata-version", "odata-maxversion");
-    private static final Pattern SET = Pattern.compile("/([A-Za-z_][A-Za-z0-9_]*)(\\(([^/]*)\\))?(/.*)?");
-    private static final Pattern WAIT = Pattern.compile("(?:^|[,;\\s])wait=([0-9]{1,6})(?:$|[,;\\s])");
-    private static final Pattern DATE = Pattern.compile(
+    private static final Pattern PATH_PATTERN = Pattern.compile("/([A-Za-z_][A-Za-z0-9_]*)(\\(([^/]*)\\))?(/.*)?");
+    private static final Pattern WAIT_PREFERENCE = Pattern.compile("(?:^|[,;\\s])wait=([0-9]{1,6})(?:$|[,;\\s])");
+    private static final Pattern HTTP_DATE = Pattern.compile(
             "(Mon|Tue|Wed|Thu|Fri|Sat|Sun), [0-3][0-9] [A-Z][a-z]{2} [0-9]{4} [0-2][0-9]:[0-5][0-9]:[0-6][0-9] GMT");
-    private static final long MILLIS = 1_000;
+    private static final long MILLIS_PER_SECOND = 1_000;
 
-    /** Reads a request to one of the model's entity sets; {@code firstSent} dates one that bears no date. */
+    /**
+     * Validates a request; throws {@link ODataException} if it can't be served. {@code firstSent} is the
+     * Repeatability-First-Sent header of a write whose client sends none.
+     */
     public static ODataRequest read(HttpMessage http, ODataModel model, String firstSent) {
         checkVersions(http);
-        int question = http.target().indexOf('?');
-        String path = decoded(question < 0 ? http.target() : http.target().substring(0, question));
-        String query = question < 0 ? "" : decoded(http.target().substring(question + 1));
-        Matcher matcher = SET.matcher(path);
+        int queryStart = http.target().indexOf('?');
+        String path = decode(queryStart < 0 ? http.target() : http.target().substring(0, queryStart));
+        String query = queryStart < 0 ? "" : decode(http.target().substring(queryStart + 1));
+        Matcher matcher = PATH_PATTERN.matcher(path);
         EntitySet set = matcher.matches() ? model.sets().get(matcher.group(1)) : null;
         if (set == null) {
             throw new ODataException(404, "no entity set has this path: " + path);
         }
-        boolean write = WRITES.contains(http.method());
+        boolean write = WRITE_METHODS.contains(http.method());
         if (!write && !http.method().equals("GET")) {
             throw new ODataException(http.method().equals("HEAD") ? 405 : 501, http.method() + " is not served");
         }
         checkFormat(http, query, write);
-        String type = write ? set.write() : query.contains("$apply=") && set.aggregate() != null ? set.aggregate()
-                : set.read();
+        String type = write ? set.writeClass() : query.contains("$apply=") && set.aggregateClass() != null ? set.aggregateClass()
+                : set.readClass();
         if (type == null) {
             throw new ODataException(405, set.name() + " does not serve " + http.method());
         }
-        String key = entity(matcher.group(3), set);
+        String key = canonicalKey(matcher.group(3), set);
         if (write && key == null && !http.method().equals("POST")) {
             throw new ODataException(405, http.method() + " needs the key of an entity");
         }
@@ -57,23 +67,24 @@
         }
         Map<String, String> headers = new LinkedHashMap<>();
         http.headers().forEach((name, value) -> {
-            if (PASSED.contains(name)) {
+            if (FORWARDED_HEADERS.contains(name)) {
                 headers.put(name, value);
             }
         });
-        String idempotencyKey = write ? repeatability(http, headers, firstSent) : null;
+        String idempotencyKey = write ? idempotencyHeaders(http, headers, firstSent) : null;
         return new ODataRequest(set, write, type, key == null ? set.name() : set.name() + "(" + key + ")",
                 key != null, idempotencyKey, waitMs(http),
                 HttpMessage.request(http.method(), http.target(), headers, http.body()));
     }
 
-    /** Whether one of two requests must wait for the other: both touch the same, and one changes it. */
+    /** Returns whether the requests must not run at the same time: they access the same data and at least one writes. */
     public boolean conflicts(ODataRequest other) {
-        boolean same = entity && other.entity ? order.equals(other.order) : set.name().equals(other.set.name());
-        return same && (write || other.write);
+        boolean overlaps = singleEntity && other.singleEntity ? orderingKey.equals(other.orderingKey)
+                : set.name().equals(other.set.name());
+        return overlaps && (write || other.write);
     }
 
-    private static String decoded(String text) {
+    private static String decode(String text) {
         try {
             return URLDecoder.decode(text.replace("+", "%2B"), StandardCharsets.UTF_8);
         } catch (IllegalArgumentException e) {
@@ -83,12 +94,13 @@
 
     private static void checkVersions(HttpMessage http) {
         String version = http.header("odata-version");
-        String most = http.header("odata-maxversion");
+        String maxVersion = http.header("odata-maxversion");
         if (!version.isEmpty() && !version.equals("4.0") && !version.equals("4.01")) {
             throw new ODataException(400, "OData-Version is not 4.0 or 4.01: " + version);
         }
-        if (!most.isEmpty() && !most.matches("[0-9]+(\\.[0-9]+)?") || !most.isEmpty() && Double.parseDouble(most) < 4) {
-            throw new ODataException(400, "OData-MaxVersion is below 4.0: " + most);
+        if (!maxVersion.isEmpty() && !maxVersion.matches("[0-9]+(\\.[0-9]+)?")
+                || !maxVersion.isEmpty() && Double.parseDouble(maxVersion) < 4) {
+            throw new ODataException(400, "OData-MaxVersion is below 4.0: " + maxVersion);
         }
     }
 
@@ -109,19 +121,19 @@
         }
     }
 
-    /** The entity that a path names, in one form whichever way it is written; null if it names the set. */
-    private static String entity(String inBrackets, EntitySet set) {
-        if (inBrackets == null) {
+    /** Returns the key in the path, whether or not it is written with its name; null if the path names the set. */
+    private static String canonicalKey(String inParentheses, EntitySet set) {
+        if (inParentheses == null) {
             return null;
         }
-        String key = inBrackets.startsWith(set.key() + "=") ? inBrackets.substring(set.key().length() + 1) : inBrackets;
+        String key = inParentheses.startsWith(set.key() + "=") ? inParentheses.substring(set.key().length() + 1) : inParentheses;
         if (key.isBlank()) {
             throw new ODataException(400, "the key of an entity is empty");
         }
         return key;
     }
 
-    /** A POST names its entity in its body, if at all. */
+    /** Returns the key in the body of a POST as it would be written in a path; null if there is none. */
     private static String keyInBody(HttpMessage http, EntitySet set) {
         try {
             Object value = Json.object(http.body()).get(set.key());
@@ -132,17 +144,17 @@
         }
     }
 
-    /** The idempotency key; made here where the client gives none, so that engines can drop our own repeats. */
-    private static String repeatability(HttpMessage http, Map<String, String> headers, String firstSent) {
+    /** Returns the idempotency key. It is generated if the client sends none, so that engines can drop our own retries. */
+    private static String idempotencyHeaders(HttpMessage http, Map<String, String> headers, String firstSent) {
         String id = http.header("repeatability-request-id");
-        String first = http.header("repeatability-first-sent");
-        if (id.isEmpty() != first.isEmpty()) {
+        String sentAt = http.header("repeatability-first-sent");
+        if (id.isEmpty() != sentAt.isEmpty()) {
             throw new ODataException(400, "Repeatability-Request-ID and Repeatability-First-Sent go together");
         }
         if (id.isEmpty()) {
             id = UUID.randomUUID().toString();
-            first = firstSent;
-        } else if (!DATE.matcher(first).matches()) {
+            sentAt = firstSent;
+        } else if (!HTTP_DATE.matcher(sentAt).matches()) {
             throw new ODataException(400, "Repeatability-First-Sent is not an HTTP date");
         }
         try {
@@ -151,12 +163,12 @@
             throw new ODataException(400, "Repeatability-Request-ID is not a plain word");
         }
         headers.put("repeatability-request-id", id);
-        headers.put("repeatability-first-sent", first);
+        headers.put("repeatability-first-sent", sentAt);
         return id;
     }
 
     private static long waitMs(HttpMessage http) {
-        Matcher wait = WAIT.matcher(http.header("prefer"));
-        return wait.find() ? Long.parseLong(wait.group(1)) * MILLIS : 0;
+        Matcher wait = WAIT_PREFERENCE.matcher(http.header("prefer"));
+        return wait.find() ? Long.parseLong(wait.group(1)) * MILLIS_PER_SECOND : 0;
     }
 }
--- a/src/main/java/cairnline/protocol/PagedResult.java
+++ b/src/main/java/cairnline/protocol/PagedResult.java
@@ -2,58 +2,58 @@
 
 import java.io.ByteArrayOutputStream;
 
-/** The pages of one engine's answer, as they come; whole only with the last of them. */
+/** Collects the pages of one engine's result, in whatever order they arrive. Not thread-safe. */
 public final class PagedResult {
-    private final int pageBytes;
-    private final int pagesMost;
-    /** What has come of each page; null before the engine has told how many there are. */
+    private final int maxPageBytes;
+    private final int maxPages;
+    /** Pages received so far, by number; null until the first message has given their count. */
     private byte[][] pages;
-    private int missing;
-    private int size;
+    private int missingPages;
+    private int sizeBytes;
     private long work;
     private double memory;
 
-    /** Nothing has come; pages are at most {@code pageBytes} long, and there are at most {@code pagesMost}. */
-    public PagedResult(int pageBytes, int pagesMost) {
-        this.pageBytes = pageBytes;
-        this.pagesMost = pagesMost;
+    /** Creates an empty result that rejects larger pages and results of more than {@code maxPages} pages. */
+    public PagedResult(int maxPageBytes, int maxPages) {
+        this.maxPageBytes = maxPageBytes;
+        this.maxPages = maxPages;
     }
 
-    /** Takes the number of pages and the figures from the first answer; false if a copy of it came before. */
-    public boolean begin(EngineMessage first) {
+    /** Takes page count, work and memory from the first message; returns false if it is a duplicate. */
+    public boolean start(EngineMessage first) {
         if (pages != null) {
             return false;
         }
-        if (first.pages() < 1 || first.pages() > pagesMost) {
-            throw new ProtocolException("an answer of " + first.pages() + " pages");
+        if (first.pageCount() < 1 || first.pageCount() > maxPages) {
+            throw new ProtocolException("an answer of " + first.pageCount() + " pages");
         }
-        pages = new byte[first.pages()][];
-        missing = pages.length;
+        pages = new byte[first.pageCount()][];
+        missingPages = pages.length;
         work = first.workMicros();
         memory = first.memory();
         return true;
     }
 
-    /** Whether a page is still to come; throws if it was not asked for. */
-    public boolean awaits(int page) {
+    /** Returns whether a page has not been received yet; throws {@link ProtocolException} if it was not requested. */
+    public boolean isMissing(int page) {
         if (pages == null || page < 1 || page >= pages.length) {
             throw new ProtocolException("page " + page + " was not asked for");
         }
         return pages[page] == null;
     }
 
-    /** Keeps a page; throws if it holds what are no rows. */
+    /** Stores a page; throws {@link ProtocolException} if it is too large or its rows are malformed. */
     public void put(int page, byte[] rows) {
-        if (rows.length > pageBytes || !EngineMessage.isRows(rows)) {
+        if (rows.length > maxPageBytes || !EngineMessage.isRows(rows)) {
             throw new ProtocolException("page " + page + " holds what are no rows");
         }
         pages[page] = rows;
-        missing--;
-        size += rows.length;
+        missingPages--;
+        sizeBytes += rows.length;
     }
 
-    /** The commands that ask for all pages but the first, which has come. */
-    public byte[] requests(String id) {
+    /** Encodes the commands that request all pages but the first, which arrives with the first message. */
+    public byte[] pageRequests(String id) {
         ByteArrayOutputStream commands = new ByteArrayOutputStream();
         for (int page = 1; page < pages.length; page++) {
             commands.writeBytes(Resp.stringArray("page", id, Integer.toString(page)));
@@ -61,36 +61,36 @@
         return commands.toByteArray();
     }
 
-    /** How many pages there are; 0 before that is known. */
+    /** Returns the number of pages, 0 until it is known. */
     public int count() {
         return pages == null ? 0 : pages.length;
     }
 
-    /** Whether all pages have come. */
+    /** Returns whether all pages have been received. */
     public boolean isComplete() {
-        return pages != null && missing == 0;
+        return pages != null && missingPages == 0;
     }
 
-    /** How many bytes have come. */
+    /** Returns the number of bytes received. */
     public int size() {
-        return size;
+        return sizeBytes;
     }
 
-    /** All pages, in their order. */
-    public byte[] whole() {
-        ByteArrayOutputStream whole = new ByteArrayOutputStream(size);
+    /** Returns the concatenated pages of a complete result. */
+    public byte[] join() {
+        ByteArrayOutputStream joined = new ByteArrayOutputStream(sizeBytes);
         for (byte[] page : pages) {
-            whole.writeBytes(page);
+            joined.writeBytes(page);
         }
-        return whole.toByteArray();
+        return joined.toByteArray();
     }
 
-    /** The work that it took, in microseconds on one core; 0 if not told. */
+    /** Returns the work that the query took in microseconds on one core, 0 if it was not reported. */
     public long work() {
         return work;
     }
 
-    /** The memory that it took, in megabytes; 0 if not told. */
+    /** Returns the memory that the query used in megabytes, 0 if it was not reported. */
     public double memory() {
         return memory;
     }
--- a/src/main/java/cairnline/protocol/ProtocolException.java
+++ b/src/main/java/cairnline/protocol/ProtocolException.java
@@ -1,10 +1,10 @@
 package cairnline.protocol;
 
-/** Bytes from a peer that do not follow its protocol; the message is fit to be shown to that peer. */
+/** Thrown for input from a peer that violates its protocol. The message may be sent to that peer. */
 public final class ProtocolException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    /** Names what is wrong. */
+    /** Creates an exception without stack trace. */
     public ProtocolException(String problem) {
         super(problem, null, false, false);
     }
--- a/src/main/java/cairnline/protocol/RecordedRequest.java
+++ b/src/main/java/cairnline/protocol/RecordedRequest.java
@@ -8,35 +8,36 @@
 import java.util.Set;
 import java.util.StringJoiner;
 
-/** A request as a recording has it, {@code at} in Unix milliseconds; {@code request} is fit to be sent again. */
-public record RecordedRequest(long at, HttpMessage request) {
-    private static final Set<String> KEPT = Set.of("accept", "content-type", "prefer", "odata-version",
+/** A request from a recording, stripped of credentials and ready to be replayed; the time is in Unix milliseconds. */
+public record RecordedRequest(long timestampMillis, HttpMessage request) {
+    private static final Set<String> KEPT_HEADERS = Set.of("accept", "content-type", "prefer", "odata-version",
             "odata-maxversion", "if-match", "if-none-match");
-    private static final Set<String> WRITES = Set.of("POST", "PUT", "PATCH", "DELETE");
-    private static final String SECRET = "(?i)(access_?token|token|api_?key|password|passwd|secret|sig|signature|auth)";
+    private static final Set<String> WRITE_METHODS = Set.of("POST", "PUT", "PATCH", "DELETE");
+    private static final String SECRET_OPTION_NAMES =
+            "(?i)(access_?token|token|api_?key|password|passwd|secret|sig|signature|auth)";
 
-    /** Whether it would change something. */
-    public boolean writes() {
-        return WRITES.contains(request.method());
+    /** Returns whether the method of the request changes data. */
+    public boolean isWrite() {
+        return WRITE_METHODS.contains(request.method());
     }
 
     /**
-     * Makes one from what was recorded. Only headers that shape an answer are kept, so that no cookie or credential of
-     * the recording is ever sent; neither is a host, a user in the URL or an option that holds a secret.
+     * Creates a request from recorded values. Only headers that influence the response are kept, so that no cookie or
+     * credential of the recording is replayed. Host, user info and query options with secrets are removed from the URL.
      */
-    static RecordedRequest of(long at, String method, String url, Map<String, String> headers, byte[] body) {
+    static RecordedRequest of(long timestampMillis, String method, String url, Map<String, String> headers, byte[] body) {
         Map<String, String> kept = new LinkedHashMap<>();
         headers.forEach((name, value) -> {
-            String plain = name.toLowerCase(Locale.ROOT);
-            if (KEPT.contains(plain)) {
-                kept.put(plain, value);
+            String lowerCase = name.toLowerCase(Locale.ROOT);
+            if (KEPT_HEADERS.contains(lowerCase)) {
+                kept.put(lowerCase, value);
             }
         });
-        String upper = method.toUpperCase(Locale.ROOT);
-        if (!upper.matches("[A-Z]{3,10}")) {
-            throw new ProtocolException("no method: " + method);
+        String upperCaseMethod = method.toUpperCase(Locale.ROOT);
+        if (!upperCaseMethod.matches("[A-Z]{3,10}")) {
+            throw new ProtocolException("invalid method: " + method);
         }
-        return new RecordedRequest(at, HttpMessage.request(upper, target(url), kept, body));
+        return new RecordedRequest(timestampMillis, HttpMessage.request(upperCaseMethod, target(url), kept, body));
     }
 
     private static String target(String url) {
@@ -44,20 +45,20 @@
             URI uri = new URI(url.replace(" ", "%20").replace("|", "%7C"));
             String path = uri.getRawPath() == null || uri.getRawPath().isEmpty() ? "/" : uri.getRawPath();
             if (!path.startsWith("/") || path.startsWith("//")) {
-                throw new ProtocolException("no path: " + url);
+                throw new ProtocolException("URL without absolute path: " + url);
             }
             if (uri.getRawQuery() == null) {
                 return path;
             }
             StringJoiner options = new StringJoiner("&");
             for (String option : uri.getRawQuery().split("&")) {
-                if (!option.split("=", 2)[0].matches(SECRET)) {
+                if (!option.split("=", 2)[0].matches(SECRET_OPTION_NAMES)) {
                     options.add(option);
                 }
             }
             return options.length() == 0 ? path : path + "?" + options;
         } catch (URISyntaxException e) {
-            throw new ProtocolException("no URL: " + e.getMessage());
+            throw new ProtocolException("invalid URL: " + e.getMessage());
         }
     }
 }
--- a/src/main/java/cairnline/protocol/Recording.java
+++ b/src/main/java/cairnline/protocol/Recording.java
@@ -3,11 +3,11 @@
 import java.io.Closeable;
 import java.io.IOException;
 
-/** A source of recorded requests, read as a stream. */
+/** A stream of recorded requests. */
 public interface Recording extends Closeable {
-    /** The next request; null at the end. A request that can't be used throws {@link ProtocolException}. */
+    /** Returns the next request, or null at the end; throws {@link ProtocolException} for an entry that can't be used. */
     RecordedRequest next() throws IOException;
 
-    /** Names the place of what was read last. */
-    String place();
+    /** Describes the position of the entry that was read last, such as {@code line 7}. */
+    String position();
 }
--- a/src/main/java/cairnline/protocol/Resp.java
+++ b/src/main/java/cairnline/protocol/Resp.java
@@ -7,90 +7,90 @@
 import java.util.List;
 import java.util.Map;
 
-/** RESP arrays of bulk strings: a decoder that is fed bytes, and a writer; and the field lists inside. */
+/** Incremental decoder and encoders of RESP arrays of bulk strings, and of the field lists in them. Not thread-safe. */
 public final class Resp {
-    private static final int LONGEST_NUMBER = 10;
+    private static final int MAX_NUMBER_LINE_CHARS = 10;
 
     private final ByteQueue bytes = new ByteQueue();
-    private final int mostParts;
-    private final int largestPart;
+    private final int maxParts;
+    private final int maxPartBytes;
     private final List<byte[]> parts = new ArrayList<>();
-    /** Parts still to come of the array that has begun; -1 between arrays. */
-    private int missing = -1;
-    /** Size of the part that has begun; -1 before its size is known. */
+    /** Parts of the current array that have not been received; -1 between arrays. */
+    private int missingParts = -1;
+    /** Size of the current part in bytes; -1 until it has been received. */
     private int partSize = -1;
 
-    /** A decoder that takes arrays of so many parts of such a size. */
-    public Resp(int mostParts, int largestPart) {
-        this.mostParts = mostParts;
-        this.largestPart = largestPart;
+    /** Creates a decoder that rejects arrays of more than {@code maxParts} parts or with a part of more than this size. */
+    public Resp(int maxParts, int maxPartBytes) {
+        this.maxParts = maxParts;
+        this.maxPartBytes = maxPartBytes;
     }
 
-    /** Appends what has been read. */
+    /** Appends the first {@code count} bytes of {@code from}. */
     public void feed(byte[] from, int count) {
         bytes.feed(from, 0, count);
     }
 
-    /** The next whole array; null until it is there. */
+    /** Returns the next complete array, or null if it has not been received completely. */
     public List<byte[]> next() {
-        if (missing < 0) {
-            int count = number('*', mostParts);
+        if (missingParts < 0) {
+            int count = readNumber('*', maxParts);
             if (count < 0) {
                 return null;
             }
-            missing = count;
+            missingParts = count;
         }
-        while (missing > 0) {
+        while (missingParts > 0) {
             if (partSize < 0) {
-                partSize = number('$', largestPart);
+                partSize = readNumber('$', maxPartBytes);
             }
             if (partSize < 0 || bytes.size() < partSize + 2) {
                 return null;
             }
             parts.add(bytes.take(partSize));
             if (bytes.at(0) != '\r' || bytes.at(1) != '\n') {
-                throw new ProtocolException("a bulk string does not end where it says");
+                throw new ProtocolException("bulk string is not terminated by CR LF");
             }
             bytes.skip(2);
             partSize = -1;
-            missing--;
+            missingParts--;
         }
-        missing = -1;
-        List<byte[]> whole = List.copyOf(parts);
+        missingParts = -1;
+        List<byte[]> array = List.copyOf(parts);
         parts.clear();
-        return whole;
+        return array;
     }
 
-    /** Whether an array has begun and not ended. */
+    /** Returns whether an incomplete array has been received. */
     public boolean hasPartialInput() {
-        return missing >= 0 || bytes.size() > 0;
+        return missingParts >= 0 || bytes.size() > 0;
     }
 
-    /** Reads a mark and a number on a line of its own; -1 if the line is not there yet. */
-    private int number(char mark, int most) {
+    /** Reads a line of a prefix and a number; returns -1 if the line has not been received completely. */
+    private int readNumber(char prefix, int max) {
         int end = bytes.indexOf('\n', 0);
-        if (end < 0 && bytes.size() <= LONGEST_NUMBER + 2) {
+        if (end < 0 && bytes.size() <= MAX_NUMBER_LINE_CHARS + 2) {
             return -1;
         }
-        if (end < 3 || end > LONGEST_NUMBER || bytes.at(0) != mark || bytes.at(end - 1) != '\r') {
-            throw new ProtocolException("expected " + mark + " and a number on a line");
+        if (end < 3 || end > MAX_NUMBER_LINE_CHARS || bytes.at(0) != prefix || bytes.at(end - 1) != '\r') {
+            throw new ProtocolException("expected " + prefix + " and a number on a line");
         }
         int value = 0;
         for (int i = 1; i < end - 1; i++) {
             int digit = bytes.at(i) - '0';
-            if (digit < 0 || digit > 9 || value > most) {
-                throw new ProtocolException("a number after " + mark + " is not one up to " + most);
+            if (digit < 0 || digit > 9 || value > max) {
+                throw new ProtocolException("number after " + prefix + " is not in the range from 0 to " + max);
             }
             value = value * 10 + digit;
         }
-        if (value > most) {
-            throw new ProtocolException("a number after " + mark + " is not one up to " + most);
+        if (value > max) {
+            throw new ProtocolException("number after " + prefix + " is not in the range from 0 to " + max);
         }
         bytes.skip(end + 1);
         return value;
     }
 
-    /** An array of these parts. */
+    /** Encodes an array of these parts. */
     public static byte[] array(byte[]... parts) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         out.writeBytes(("*" + parts.length + "\r\n").getBytes(StandardCharsets.US_ASCII));
@@ -103,16 +103,16 @@
         return out.toByteArray();
     }
 
-    /** An array of these words. */
-    public static byte[] words(String... words) {
-        byte[][] parts = new byte[words.length][];
-        for (int i = 0; i < words.length; i++) {
-            parts[i] = words[i].getBytes(StandardCharsets.UTF_8);
+    /** Encodes an array of these strings. */
+    public static byte[] stringArray(String... strings) {
+        byte[][] parts = new byte[strings.length][];
+        for (int i = 0; i < strings.length; i++) {
+            parts[i] = strings[i].getBytes(StandardCharsets.UTF_8);
         }
         return array(parts);
     }
 
-    /** A field list as a part. */
+    /** Encodes a field list as the text of a part. */
     public static String fields(Map<String, String> fields) {
         if (fields.isEmpty()) {
             return "-";
@@ -123,7 +123,7 @@
         return text.toString();
     }
 
-    /** Reads a field list. */
+    /** Parses a field list; throws {@link ProtocolException} if an entry is not {@code name=value}. */
     public static Map<String, String> fields(String text) {
         Map<String, String> fields = new LinkedHashMap<>();
         if (text.equals("-") || text.isEmpty()) {
@@ -132,7 +132,7 @@
         for (String part : text.split(",")) {
             int equals = part.indexOf('=');
             if (equals < 1) {
-                throw new ProtocolException("a field list holds no name=value: " + part);
+                throw new ProtocolException("field list entry is not name=value: " + part);
             }
             fields.put(part.substring(0, equals), part.substring(equals + 1));
         }
--- a/src/main/java/cairnline/protocol/SchemaGroup.java
+++ b/src/main/java/cairnline/protocol/SchemaGroup.java
@@ -1,119 +1,123 @@
 package cairnline.protocol;
 
-/** Finds the group of tables of a statement: the number after the underscore in its schema's name. */
+/**
+ * Finds the group of tables that a SQL statement uses: the number after the last underscore of a schema name that qualifies
+ * a table. String literals and comments are skipped.
+ */
 public final class SchemaGroup {
-    private static final int MOST_DIGITS = 9;
+    private static final int MAX_DIGITS = 9;
 
     private SchemaGroup() { }
 
-    /** The group; -1 if the statement names none. */
+    /** Returns the group of the first schema with a number, or -1 if the statement names none. */
     public static int of(String statement) {
-        int at = 0;
-        while (at < statement.length()) {
-            int next = skipped(statement, at);
-            if (next > at) {
-                at = next;
-            } else if (isName(statement.charAt(at)) || statement.charAt(at) == '"') {
-                int end = nameEnd(statement, at);
-                int group = !follows(statement, at) && qualifies(statement, end) ? group(bare(statement.substring(at, end))) : -1;
+        int position = 0;
+        while (position < statement.length()) {
+            int afterSkipped = skipStringOrComment(statement, position);
+            if (afterSkipped > position) {
+                position = afterSkipped;
+            } else if (isNameCharacter(statement.charAt(position)) || statement.charAt(position) == '"') {
+                int end = nameEnd(statement, position);
+                int group = !isPrecededByDot(statement, position) && isFollowedByDot(statement, end)
+                        ? group(unquote(statement.substring(position, end))) : -1;
                 if (group >= 0) {
                     return group;
                 }
-                at = end;
+                position = end;
             } else {
-                at++;
+                position++;
             }
         }
         return -1;
     }
 
-    /** Past a string or comment that starts here; here if none does. */
-    private static int skipped(String s, int at) {
-        char c = s.charAt(at);
-        if (c == '\'') {
-            return quoted(s, at, '\'');
+    /** Returns the index after the string or comment that starts at this index, or this index if none does. */
+    private static int skipStringOrComment(String statement, int start) {
+        char first = statement.charAt(start);
+        if (first == '\'') {
+            return skipQuoted(statement, start, '\'');
         }
-        if (s.startsWith("--", at)) {
-            int end = s.indexOf('\n', at);
-            return end < 0 ? s.length() : end;
+        if (statement.startsWith("--", start)) {
+            int end = statement.indexOf('\n', start);
+            return end < 0 ? statement.length() : end;
         }
-        if (s.startsWith("/*", at)) {
-            return comment(s, at);
+        if (statement.startsWith("/*", start)) {
+            return skipBlockComment(statement, start);
         }
-        return at;
+        return start;
     }
 
-    /** Past a quoted run; the quote doubled stands for itself. */
-    private static int quoted(String s, int at, char quote) {
-        int i = at + 1;
-        while (i < s.length()) {
-            if (s.charAt(i) == quote) {
-                if (i + 1 == s.length() || s.charAt(i + 1) != quote) {
-                    return i + 1;
+    /** Returns the index after a quoted string or identifier; a doubled quote is an escaped quote. */
+    private static int skipQuoted(String statement, int start, char quote) {
+        int position = start + 1;
+        while (position < statement.length()) {
+            if (statement.charAt(position) == quote) {
+                if (position + 1 == statement.length() || statement.charAt(position + 1) != quote) {
+                    return position + 1;
                 }
-                i++;
+                position++;
             }
-            i++;
+            position++;
         }
-        return s.length();
+        return statement.length();
     }
 
-    /** Past a block comment; they nest in SQL. */
-    private static int comment(String s, int at) {
+    /** Returns the index after a block comment; block comments nest in SQL. */
+    private static int skipBlockComment(String statement, int start) {
         int depth = 0;
-        for (int i = at; i < s.length(); i++) {
-            if (s.startsWith("/*", i)) {
+        for (int position = start; position < statement.length(); position++) {
+            if (statement.startsWith("/*", position)) {
                 depth++;
-                i++;
-            } else if (s.startsWith("*/", i)) {
+                position++;
+            } else if (statement.startsWith("*/", position)) {
                 depth--;
-                i++;
+                position++;
                 if (depth == 0) {
-                    return i + 1;
+                    return position + 1;
                 }
             }
         }
-        return s.length();
+        return statement.length();
     }
 
-    private static int nameEnd(String s, int at) {
-        if (s.charAt(at) == '"') {
-            return quoted(s, at, '"');
+    private static int nameEnd(String statement, int start) {
+        if (statement.charAt(start) == '"') {
+            return skipQuoted(statement, start, '"');
         }
-        int end = at;
-        while (end < s.length() && isName(s.charAt(end))) {
+        int end = start;
+        while (end < statement.length() && isNameCharacter(statement.charAt(end))) {
             end++;
         }
         return end;
     }
 
-    /** Whether a dot follows, so that the name before it is a schema's. */
-    private static boolean qualifies(String s, int end) {
-        int at = end;
-        while (at < s.length() && Character.isWhitespace(s.charAt(at))) {
-            at++;
+    /** Returns whether a dot follows the name, so that it qualifies another name. */
+    private static boolean isFollowedByDot(String statement, int end) {
+        int position = end;
+        while (position < statement.length() && Character.isWhitespace(statement.charAt(position))) {
+            position++;
         }
-        return at < s.length() && s.charAt(at) == '.';
+        return position < statement.length() && statement.charAt(position) == '.';
     }
 
-    /** Whether a dot comes before, so that the name is a table's or a column's. */
-    private static boolean follows(String s, int start) {
-        return start > 0 && s.charAt(start - 1) == '.';
+    /** Returns whether a dot precedes the name, so that it is that of a table or column. */
+    private static boolean isPrecededByDot(String statement, int start) {
+        return start > 0 && statement.charAt(start - 1) == '.';
     }
 
-    private static String bare(String name) {
+    private static String unquote(String name) {
         return name.startsWith("\"") ? name.substring(1, Math.max(1, name.length() - 1)) : name;
     }
 
     private static int group(String schema) {
         int underscore = schema.lastIndexOf('_');
         String digits = schema.substring(underscore + 1);
-        boolean numbered = underscore > 0 && !digits.isEmpty() && digits.length() <= MOST_DIGITS
+        boolean hasGroup = underscore > 0 && !digits.isEmpty() && digits.length() <= MAX_DIGITS
                 && digits.chars().allMatch(c -> c >= '0' && c <= '9');
-        return numbered ? Integer.parseInt(digits) : -1;
+        return hasGroup ? Integer.parseInt(digits) : -1;
     }
 
-    private static boolean isName(char c) {
+    private static boolean isNameCharacter(char c) {
         return Character.isLetterOrDigit(c) || c == '_' || c == '$';
     }
 }
--- a/src/main/java/cairnline/routing/Core.java
+++ b/src/main/java/cairnline/routing/Core.java
@@ -252,9 +252,9 @@
         byClientId.put(r.id(), o);
         trace.step("taken", r, "", now, r.type());
         timers.at(deadline + limits.routing().answerMargin() / 2, () -> overdue(o));
-        boolean ordered = r.orderingKey() != null;
+        boolean ordered = r.order() != null;
         tell(() -> control.request(moduleNow(), new ControlApi.Request(o.id, r.type(), "", ordered,
-                ordered ? r.orderingKey() : 0, Clock.toModule(Math.max(1, deadline - now)), Clock.toModule(r.work()),
+                ordered ? r.order() : 0, Clock.toModule(Math.max(1, deadline - now)), Clock.toModule(r.work()),
                 r.memory(), r.tables(), false)));
     }
 
