--- a/src/test/java/cairnline/protocol/ClientFramesTest.java
+++ b/src/test/java/cairnline/protocol/ClientFramesTest.java
@@ -23,28 +23,28 @@
         return ClientRequest.read(ClientFrames.parseContent(decoder.next().payload()));
     }
 
-    private static ClientRequest with(String name, String value) {
+    private static ClientRequest readWith(String name, String value) {
         Map<String, String> fields = new HashMap<>(FIELDS);
         fields.put(name, value);
         return read(fields, "");
     }
 
     @Test
-    void aFrameThatIsDroppedIsToldOnceItIsWholeAndTheNextOneIsRead() {
+    void returnsDroppedFrameOnceCompleteAndReadsTheNextOne() {
         byte[] large = ClientFrames.request(5, Map.of(), new byte[1_000]);
         byte[] next = ClientFrames.request(6, Map.of(), new byte[] {1});
         ClientFrames frames = new ClientFrames(2_000);
         frames.feed(large, 8);
         frames.dropPartialPayload();
-        assertEquals(8, frames.bufferedBytes(), "the stream has not come yet");
+        assertEquals(8, frames.bufferedBytes(), "the stream number has not been received yet");
         frames.feed(Arrays.copyOfRange(large, 8, 500), 492);
         frames.dropPartialPayload();
         assertEquals(0, frames.bufferedBytes());
         assertTrue(frames.hasPartialInput());
         assertNull(frames.next());
-        byte[] rest = Arrays.copyOfRange(large, 500, large.length + next.length);
-        System.arraycopy(next, 0, rest, large.length - 500, next.length);
-        frames.feed(rest, rest.length);
+        byte[] remainder = Arrays.copyOfRange(large, 500, large.length + next.length);
+        System.arraycopy(next, 0, remainder, large.length - 500, next.length);
+        frames.feed(remainder, remainder.length);
         ClientFrames.Frame dropped = frames.next();
         assertEquals(5, dropped.stream());
         assertTrue(dropped.payloadDropped());
@@ -53,14 +53,14 @@
     }
 
     @Test
-    void aFrameIsReadHoweverItsBytesAreCut() {
-        byte[] two = ClientFrames.frame(2, 7, new byte[] {1, 2, 3});
+    void readsFrameWhoseBytesArriveOneByOne() {
+        byte[] encoded = ClientFrames.frame(2, 7, new byte[] {1, 2, 3});
         ClientFrames decoder = new ClientFrames(262_144);
-        for (int i = 0; i < two.length - 1; i++) {
-            decoder.feed(new byte[] {two[i]}, 1);
+        for (int i = 0; i < encoded.length - 1; i++) {
+            decoder.feed(new byte[] {encoded[i]}, 1);
             assertNull(decoder.next());
         }
-        decoder.feed(new byte[] {two[two.length - 1]}, 1);
+        decoder.feed(new byte[] {encoded[encoded.length - 1]}, 1);
         ClientFrames.Frame frame = decoder.next();
         assertEquals("2 7", frame.type() + " " + frame.stream());
         assertArrayEquals(new byte[] {1, 2, 3}, frame.payload());
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void aLengthOutsideTheBoundsIsRejectedBeforeItsBytesCome() {
+    void rejectsLengthOutOfRangeBeforeThePayloadArrives() {
         for (byte[] length : new byte[][] {{0, 0, 0, 4}, {0, 4, 0, 1}, {-1, -1, -1, -1}}) {
             ClientFrames decoder = new ClientFrames(262_144);
             decoder.feed(length, 4);
@@ -80,27 +80,27 @@
     }
 
     @Test
-    void fieldsThatRunPastTheFrameAreRejected() {
+    void rejectsFieldsThatExceedThePayload() {
         for (byte[] payload : new byte[][] {{1}, {1, 5, 'a'}, {1, 1, 'a', 0}, {1, 1, 'a', 0, 9, 'b'}}) {
             assertThrows(ProtocolException.class, () -> ClientFrames.parseContent(payload));
         }
     }
 
     @Test
-    void aRequestIsReadWithItsBodyUnchanged() {
+    void readsFieldsAndBodyOfRequest() {
         ClientRequest request = read(FIELDS, "select 1\tfrom sales_17.orders");
         assertEquals("9b1f03aa5c7e2d41 lookup 1500 17", request.id() + " " + request.type() + " " + request.ttlMs()
-                + " " + request.tables());
+                + " " + request.tableGroup());
         assertEquals("select 1\tfrom sales_17.orders", new String(request.statement(), StandardCharsets.UTF_8));
-        assertEquals(820_500, with("work", "820.5").workMicros());
+        assertEquals(820_500, readWith("work", "820.5").workMicros());
     }
 
     @Test
-    void fieldsThatCannotBeUsedAreNamed() {
+    void namesTheInvalidFieldInTheError() {
         String[][] bad = {{"ttl", "0"}, {"ttl", "soon"}, {"call", "123"}, {"call", "9b1f03aa5c7e2dzz"},
             {"work", "NaN"}, {"heap", "-1"}, {"dedupe", "a,b"}, {"dedupe", "a=b"}, {"row", "xyz"}};
         for (String[] field : bad) {
-            ProtocolException e = assertThrows(ProtocolException.class, () -> with(field[0], field[1]));
+            ProtocolException e = assertThrows(ProtocolException.class, () -> readWith(field[0], field[1]));
             assertEquals(field[0], e.getMessage().split(" ")[0]);
         }
     }
--- a/src/test/java/cairnline/protocol/HttpDecoderTest.java
+++ b/src/test/java/cairnline/protocol/HttpDecoderTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 
 class HttpDecoderTest {
-    private static HttpDecoder fed(String text) {
+    private static HttpDecoder decoderOf(String text) {
         HttpDecoder decoder = new HttpDecoder(200, 20);
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         for (byte each : bytes) {
@@ -18,8 +18,8 @@
     }
 
     @Test
-    void bodiesOfAToldLengthAndInChunksAreRead() {
-        HttpDecoder decoder = fed("POST /a HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc"
+    void readsBodiesWithContentLengthAndInChunks() {
+        HttpDecoder decoder = decoderOf("POST /a HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc"
                 + "POST /b HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2;x=1\r\nde\r\n1\r\nf\r\n0\r\nT: 1\r\n\r\n"
                 + "GET /c HTTP/1.1\r\n");
         assertEquals("abc", new String(decoder.next().body(), StandardCharsets.UTF_8));
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void whatIsTooLongOrAmbiguousIsRejected() {
+    void rejectsMessagesThatAreMalformedTooLongOrAmbiguous() {
         String[] bad = {"hello\r\n\r\n", "GET / HTTP/2\r\n\r\n", "GET / HTTP/1.1\r\nContent-Length: 21\r\n\r\n",
             "GET / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n",
             "GET / HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n",
@@ -43,15 +43,15 @@
     }
 
     @Test
-    void pagesAreJoinedInOrderAndOnePageIsUnchanged() {
+    void joinsPagesInOrderAndLeavesSinglePageUnchanged() {
         ODataPages one = new ODataPages();
         HttpMessage single = HttpMessage.response(200, "application/json", "{ \"value\":[1.50] }".getBytes());
-        assertNull(one.take(single));
-        assertEquals("{ \"value\":[1.50] }", new String(one.whole().body(), StandardCharsets.UTF_8));
+        assertNull(one.addPage(single));
+        assertEquals("{ \"value\":[1.50] }", new String(one.join().body(), StandardCharsets.UTF_8));
         ODataPages two = new ODataPages();
-        assertEquals("/Books?$skiptoken=2", two.take(HttpMessage.response(200, "application/json",
+        assertEquals("/Books?$skiptoken=2", two.addPage(HttpMessage.response(200, "application/json",
                 "{\"value\":[1.50],\"@odata.nextLink\":\"http://e/Books?$skiptoken=2\"}".getBytes())));
-        assertNull(two.take(HttpMessage.response(200, "application/json", "{\"value\":[2,3]}".getBytes())));
-        assertEquals("{\"value\":[1.50,2,3]}", new String(two.whole().body(), StandardCharsets.UTF_8));
+        assertNull(two.addPage(HttpMessage.response(200, "application/json", "{\"value\":[2,3]}".getBytes())));
+        assertEquals("{\"value\":[1.50,2,3]}", new String(two.join().body(), StandardCharsets.UTF_8));
     }
 }
--- a/src/test/java/cairnline/protocol/RespTest.java
+++ b/src/test/java/cairnline/protocol/RespTest.java
@@ -18,7 +18,7 @@
     }
 
     @Test
-    void anArrayIsReadHoweverItsBytesAreCut() {
+    void readsArrayWhoseBytesArriveOneByOne() {
         byte[] bytes = Resp.stringArray("id", "ACK", "parts=2", "a\r\nb");
         Resp resp = new Resp(8, 100);
         for (int i = 0; i < bytes.length - 1; i++) {
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void whatIsNoArrayOrTooLargeIsRejected() {
+    void rejectsMalformedAndOversizedArrays() {
         for (String text : new String[] {"+OK\r\n", "*9\r\n", "*1\r\n$101\r\n", "*1\r\n$x\r\n", "*1\r\n$1\r\nabc",
             "*12345678901234567890"}) {
             Resp resp = new Resp(8, 100);
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void anAnswersFieldsAreRead() {
+    void readsFieldsAndLoadReport() {
         EngineMessage message = EngineMessage.parse(List.of("t".getBytes(StandardCharsets.UTF_8),
                 "READY".getBytes(StandardCharsets.UTF_8),
                 "report=inflight:7;util:0.61".getBytes(StandardCharsets.UTF_8)));
@@ -51,18 +51,18 @@
     }
 
     @Test
-    void whatIsNoAnswerIsRejectedThoughItsLengthsFit() {
+    void rejectsWellFormedArrayThatIsNotAValidMessage() {
         String[][] bad = {{"1", "ACK", "parts=1"}, {"1", "NOISE", "-", ""}, {"1"}, {"1", "ACK", "parts=1,work", ""}};
-        for (String[] words : bad) {
-            assertThrows(ProtocolException.class, () -> message(words), String.join(" ", words));
+        for (String[] parts : bad) {
+            assertThrows(ProtocolException.class, () -> message(parts), String.join(" ", parts));
         }
         for (String number : new String[] {"many", "NaN", "-1", "1e300", "Infinity", ""}) {
-            assertThrows(ProtocolException.class, () -> message("1", "ACK", "parts=" + number, "").pages(), number);
+            assertThrows(ProtocolException.class, () -> message("1", "ACK", "parts=" + number, "").pageCount(), number);
         }
     }
 
     @Test
-    void rowsAreWholeAndHaveThreeColumns() {
+    void acceptsOnlyCompleteRowsOfThreeColumns() {
         for (String rows : new String[] {"", "a\tb\tc\n", "\t\t\n\t\t\n"}) {
             assertTrue(EngineMessage.isRows(rows.getBytes(StandardCharsets.UTF_8)), rows);
         }
@@ -71,15 +71,15 @@
         }
     }
 
-    private static EngineMessage message(String... words) {
+    private static EngineMessage message(String... parts) {
         Resp resp = new Resp(4, 100);
-        byte[] bytes = Resp.stringArray(words);
+        byte[] bytes = Resp.stringArray(parts);
         resp.feed(bytes, bytes.length);
         return EngineMessage.parse(resp.next());
     }
 
     @Test
-    void theSchemaGroupIsFoundWhereStatementsHideIt() {
+    void findsSchemaGroupBesideStringsCommentsAndQuotedNames() {
         Map<String, Integer> groups = Map.of(
                 "select * from sales_17.orders", 17,
                 "insert into staging.orders_5 select * from sales_3.orders", 3,
--- a/src/test/java/cairnline/protocol/UsedStreamsTest.java
+++ b/src/test/java/cairnline/protocol/UsedStreamsTest.java
@@ -12,11 +12,11 @@
 
 class UsedStreamsTest {
     @Property
-    void aNumberIsNewOnceAndNeverIfItIsZero(@ForAll @Size(max = 200) List<@LongRange(min = 0, max = 60) Long> numbers) {
-        UsedStreams used = new UsedStreams();
-        Set<Long> seen = new HashSet<>(Set.of(0L));
+    void acceptsEachNumberOnceAndNeverZero(@ForAll @Size(max = 200) List<@LongRange(min = 0, max = 60) Long> numbers) {
+        UsedStreams streams = new UsedStreams();
+        Set<Long> usedNumbers = new HashSet<>(Set.of(0L));
         for (long number : numbers) {
-            assertEquals(seen.add(number), used.use(number), "number " + number);
+            assertEquals(usedNumbers.add(number), streams.use(number), "number " + number);
         }
     }
 }
