--- a/src/main/java/cairnline/store/FileSystemStorage.java
+++ b/src/main/java/cairnline/store/FileSystemStorage.java
@@ -13,9 +13,9 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** A folder of the file system. */
+/** Stores the files in a folder of the file system. */
 final class FileSystemStorage implements SnapshotStorage {
-    private static final String LOCK = "lock";
+    private static final String LOCK_FILE = "lock";
 
     private final Path folder;
     private FileChannel lockFile;
@@ -26,7 +26,7 @@
     }
 
     @Override
-    public List<String> names() throws IOException {
+    public List<String> listFiles() throws IOException {
         try (Stream<Path> files = Files.list(folder)) {
             return files.map(file -> file.getFileName().toString()).toList();
         } catch (NoSuchFileException e) {
@@ -44,17 +44,17 @@
         return Files.readAllBytes(folder.resolve(name));
     }
 
-    /** The lock file stays: two processes that each made one anew would both have it. */
+    /** The lock file is never deleted: if each of two processes created its own, both would hold the lock. */
     @Override
-    public void own() throws IOException {
-        if (lock != null && lock.isValid() && Files.isRegularFile(folder.resolve(LOCK))) {
+    public void acquireLock() throws IOException {
+        if (lock != null && lock.isValid() && Files.isRegularFile(folder.resolve(LOCK_FILE))) {
             return;
         }
         Files.createDirectories(folder);
         if (lockFile != null) {
             lockFile.close();
         }
-        lockFile = FileChannel.open(folder.resolve(LOCK), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+        lockFile = FileChannel.open(folder.resolve(LOCK_FILE), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
         try {
             lock = lockFile.tryLock();
         } catch (OverlappingFileLockException e) {
@@ -62,7 +62,7 @@
         }
         if (lock == null) {
             lockFile.close();
-            throw new IOException("another workload manager keeps its list in " + folder);
+            throw new IOException("another workload manager holds the lock of the snapshot folder " + folder);
         }
     }
 
@@ -70,9 +70,9 @@
     public void write(String name, byte[] bytes) throws IOException {
         try (FileChannel file = FileChannel.open(folder.resolve(name), StandardOpenOption.CREATE,
                 StandardOpenOption.WRITE, StandardOpenOption.TRUNCATE_EXISTING)) {
-            ByteBuffer left = ByteBuffer.wrap(bytes);
-            while (left.hasRemaining()) {
-                file.write(left);
+            ByteBuffer buffer = ByteBuffer.wrap(bytes);
+            while (buffer.hasRemaining()) {
+                file.write(buffer);
             }
             file.force(true);
         }
@@ -85,8 +85,8 @@
 
     @Override
     public void sync() throws IOException {
-        try (FileChannel names = FileChannel.open(folder, StandardOpenOption.READ)) {
-            names.force(true);
+        try (FileChannel directory = FileChannel.open(folder, StandardOpenOption.READ)) {
+            directory.force(true);
         }
     }
 
--- a/src/main/java/cairnline/store/Snapshot.java
+++ b/src/main/java/cairnline/store/Snapshot.java
@@ -3,5 +3,10 @@
 import cairnline.membership.Remembered;
 import java.util.List;
 
-/** A list as it was kept: when, in microseconds from the Unix epoch, and what of each engine. */
+/**
+ * A stored engine list.
+ *
+ * @param savedAt when it was saved, in microseconds since the Unix epoch
+ * @param engines the stored engines
+ */
 public record Snapshot(long savedAt, List<Remembered> engines) { }
--- a/src/main/java/cairnline/store/SnapshotCodec.java
+++ b/src/main/java/cairnline/store/SnapshotCodec.java
@@ -16,7 +16,7 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * Snapshots as bytes, big-endian:
+ * Encodes and decodes snapshots. The format is big-endian:
  *
  * <pre>
  * magic "CAIRNLST" | version u16 | length of all u32 | saved at i64 (us) | engines u32
@@ -25,124 +25,126 @@
  * then MurmurHash3 (128 bits, x64) of all before it
  * </pre>
  *
- * <p>A later version must keep the first 14 bytes, so that this one can tell what it is.
+ * <p>Later versions of the format must keep the first 14 bytes, so that this version recognises them.
  */
 public final class SnapshotCodec {
-    /** The version that is written, and the latest that is read. */
+    /** The version that is written and the newest one that can be read. */
     static final int VERSION = 1;
 
     private static final byte[] MAGIC = "CAIRNLST".getBytes(StandardCharsets.US_ASCII);
-    private static final int HEAD = MAGIC.length + 2 + 4 + 8 + 4;
-    private static final int HASH = 16;
-    /** Of an engine without its texts. */
-    private static final int FIXED = 4 * 2 + 2 + 4 + 8 + 3 * 8;
-    private static final int TEXT_MOST = 0xFFFF;
-    private static final Listed[] LISTED = Listed.values();
+    private static final int HEADER_BYTES = MAGIC.length + 2 + 4 + 8 + 4;
+    private static final int CHECKSUM_BYTES = 16;
+    /** Encoded size of an engine without the content of its four texts. */
+    private static final int ENGINE_FIXED_BYTES = 4 * 2 + 2 + 4 + 8 + 3 * 8;
+    private static final int MAX_TEXT_BYTES = 0xFFFF;
+    private static final Listed[] STATUSES = Listed.values();
     private static final State[] STATES = State.values();
 
     private SnapshotCodec() { }
 
-    /** Encodes a snapshot. */
+    /** Encodes a snapshot; throws {@link IllegalArgumentException} if a text is longer than 65535 bytes. */
     public static byte[] encode(Snapshot snapshot) {
         List<byte[][]> texts = new ArrayList<>(snapshot.engines().size());
-        int length = HEAD + HASH;
-        for (Remembered each : snapshot.engines()) {
-            ListedEngine e = each.engine();
-            byte[][] own = {utf8(e.id()), utf8(e.address()), utf8(e.zone()), utf8(e.kind())};
-            texts.add(own);
-            length += FIXED + own[0].length + own[1].length + own[2].length + own[3].length;
+        int length = HEADER_BYTES + CHECKSUM_BYTES;
+        for (Remembered stored : snapshot.engines()) {
+            ListedEngine engine = stored.engine();
+            byte[][] engineTexts = {utf8(engine.id()), utf8(engine.address()), utf8(engine.zone()), utf8(engine.kind())};
+            texts.add(engineTexts);
+            length += ENGINE_FIXED_BYTES + engineTexts[0].length + engineTexts[1].length + engineTexts[2].length
+                    + engineTexts[3].length;
         }
         ByteBuffer out = ByteBuffer.allocate(length);
         out.put(MAGIC).putShort((short) VERSION).putInt(length).putLong(snapshot.savedAt());
         out.putInt(snapshot.engines().size());
         for (int i = 0; i < texts.size(); i++) {
-            put(out, snapshot.engines().get(i), texts.get(i));
+            writeEngine(out, snapshot.engines().get(i), texts.get(i));
         }
-        long[] hash = MurmurHash3.hash128x64(Arrays.copyOf(out.array(), length - HASH));
+        long[] hash = MurmurHash3.hash128x64(Arrays.copyOf(out.array(), length - CHECKSUM_BYTES));
         out.putLong(hash[0]).putLong(hash[1]);
         return out.array();
     }
 
     private static byte[] utf8(String text) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-        if (bytes.length > TEXT_MOST) {
-            throw new IllegalArgumentException("a text of " + bytes.length + " bytes");
+        if (bytes.length > MAX_TEXT_BYTES) {
+            throw new IllegalArgumentException("text exceeds 65535 bytes: " + bytes.length + " bytes");
         }
         return bytes;
     }
 
-    private static void put(ByteBuffer out, Remembered each, byte[][] texts) {
+    private static void writeEngine(ByteBuffer out, Remembered stored, byte[][] texts) {
         for (byte[] text : texts) {
             out.putShort((short) text.length).put(text);
         }
-        ListedEngine e = each.engine();
-        out.put((byte) e.listed().ordinal()).put((byte) each.last().ordinal());
-        out.putInt(e.cell()).putDouble(e.size());
-        out.putLong(e.startedAt()).putLong(each.toldAt()).putLong(each.aliveAt());
+        ListedEngine engine = stored.engine();
+        out.put((byte) engine.listed().ordinal()).put((byte) stored.last().ordinal());
+        out.putInt(engine.cell()).putDouble(engine.size());
+        out.putLong(engine.startedAt()).putLong(stored.toldAt()).putLong(stored.aliveAt());
     }
 
-    /** Decodes a whole file; never returns what was not written so. */
+    /** Decodes the content of a file; throws unless it is a complete snapshot with a valid checksum. */
     public static Snapshot decode(byte[] bytes) throws SnapshotException {
-        int known = Math.min(bytes.length, MAGIC.length);
-        if (known == 0) {
-            throw new SnapshotException(Cause.CUT, "it is empty");
+        int prefixLength = Math.min(bytes.length, MAGIC.length);
+        if (prefixLength == 0) {
+            throw new SnapshotException(Cause.CUT, "the file is empty");
         }
-        if (!Arrays.equals(bytes, 0, known, MAGIC, 0, known)) {
-            throw new SnapshotException(Cause.FOREIGN, "it is no snapshot of a list");
+        if (!Arrays.equals(bytes, 0, prefixLength, MAGIC, 0, prefixLength)) {
+            throw new SnapshotException(Cause.FOREIGN, "the file is not an engine list snapshot");
         }
-        if (bytes.length < HEAD + HASH) {
-            throw new SnapshotException(Cause.CUT, "it ends within its head, after " + bytes.length + " bytes");
+        if (bytes.length < HEADER_BYTES + CHECKSUM_BYTES) {
+            throw new SnapshotException(Cause.CUT, "the file ends within its header, after " + bytes.length + " bytes");
         }
         ByteBuffer in = ByteBuffer.wrap(bytes).position(MAGIC.length);
         int version = Short.toUnsignedInt(in.getShort());
         if (version > VERSION) {
-            throw new SnapshotException(Cause.NEWER_VERSION, "version " + version + " is later than " + VERSION);
+            throw new SnapshotException(Cause.NEWER_VERSION,
+                    "version " + version + " is newer than the supported version " + VERSION);
         }
         int length = in.getInt();
         if (length > bytes.length) {
-            throw new SnapshotException(Cause.CUT, "it ends after " + bytes.length + " bytes of " + length);
+            throw new SnapshotException(Cause.CUT, "the file ends after " + bytes.length + " bytes of " + length);
         }
-        long[] hash = MurmurHash3.hash128x64(Arrays.copyOf(bytes, bytes.length - HASH));
-        ByteBuffer tail = ByteBuffer.wrap(bytes).position(bytes.length - HASH);
-        if (version < VERSION || length != bytes.length || tail.getLong() != hash[0] || tail.getLong() != hash[1]) {
-            throw new SnapshotException(Cause.DAMAGED, "its checksum is wrong");
+        long[] hash = MurmurHash3.hash128x64(Arrays.copyOf(bytes, bytes.length - CHECKSUM_BYTES));
+        ByteBuffer checksum = ByteBuffer.wrap(bytes).position(bytes.length - CHECKSUM_BYTES);
+        if (version < VERSION || length != bytes.length || checksum.getLong() != hash[0] || checksum.getLong() != hash[1]) {
+            throw new SnapshotException(Cause.DAMAGED, "checksum mismatch");
         }
-        return body(in.limit(bytes.length - HASH));
+        return readEngines(in.limit(bytes.length - CHECKSUM_BYTES));
     }
 
-    private static Snapshot body(ByteBuffer in) throws SnapshotException {
+    private static Snapshot readEngines(ByteBuffer in) throws SnapshotException {
         try {
             long savedAt = in.getLong();
             int count = in.getInt();
-            List<Remembered> engines = new ArrayList<>(Math.max(0, Math.min(count, in.remaining() / FIXED)));
-            // Zones and kinds are few: one copy of each is enough.
-            Map<String, String> shared = new HashMap<>();
+            List<Remembered> engines = new ArrayList<>(Math.max(0, Math.min(count, in.remaining() / ENGINE_FIXED_BYTES)));
+            // Zones and machine types repeat: engines share one copy of each.
+            Map<String, String> internedTexts = new HashMap<>();
             for (int i = 0; i < count; i++) {
-                engines.add(engine(in, shared));
+                engines.add(readEngine(in, internedTexts));
             }
             if (in.hasRemaining()) {
-                throw new SnapshotException(Cause.DAMAGED, in.remaining() + " bytes follow its last engine");
+                throw new SnapshotException(Cause.DAMAGED, in.remaining() + " bytes follow the last engine");
             }
             return new Snapshot(savedAt, engines);
         } catch (BufferUnderflowException | ArrayIndexOutOfBoundsException e) {
-            throw new SnapshotException(Cause.DAMAGED, "a field of it is wrong");
+            throw new SnapshotException(Cause.DAMAGED, "a field is invalid");
         }
     }
 
-    private static Remembered engine(ByteBuffer in, Map<String, String> shared) {
-        String id = text(in);
-        String address = text(in);
-        String zone = shared.computeIfAbsent(text(in), text -> text);
-        String kind = shared.computeIfAbsent(text(in), text -> text);
-        Listed listed = LISTED[in.get()];
+    private static Remembered readEngine(ByteBuffer in, Map<String, String> internedTexts) {
+        String id = readText(in);
+        String address = readText(in);
+        String zone = internedTexts.computeIfAbsent(readText(in), text -> text);
+        String kind = internedTexts.computeIfAbsent(readText(in), text -> text);
+        Listed status = STATUSES[in.get()];
         State state = STATES[in.get()];
         int cell = in.getInt();
         double size = in.getDouble();
-        ListedEngine engine = new ListedEngine(id, address, listed, zone, kind, cell, size, in.getLong());
+        ListedEngine engine = new ListedEngine(id, address, status, zone, kind, cell, size, in.getLong());
         return new Remembered(engine, state, in.getLong(), in.getLong());
     }
 
-    private static String text(ByteBuffer in) {
+    private static String readText(ByteBuffer in) {
         int length = Short.toUnsignedInt(in.getShort());
         if (length > in.remaining()) {
             throw new BufferUnderflowException();
--- a/src/main/java/cairnline/store/SnapshotException.java
+++ b/src/main/java/cairnline/store/SnapshotException.java
@@ -1,36 +1,36 @@
 package cairnline.store;
 
-/** A snapshot that can't be used, and the one cause for which it is skipped. */
+/** Thrown for a snapshot that can't be used and is skipped. */
 public final class SnapshotException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    /** Why a snapshot can't be used; the words of the event that tells of it. */
+    /** Why a snapshot can't be used; the names are values in log events. */
     public enum Cause {
-        /** It ends before its last byte. */
+        /** The file is truncated. */
         CUT,
-        /** Its checksum, or a field in it, is wrong. */
+        /** The checksum or a field is wrong. */
         DAMAGED,
-        /** It is no snapshot of a list. */
+        /** The file is not an engine list snapshot. */
         FOREIGN,
-        /** A later release wrote it. */
+        /** A newer release wrote it. */
         NEWER_VERSION,
-        /** It was written later than now, by more than clocks may differ. */
+        /** It is dated in the future by more than the allowed clock skew. */
         FUTURE_DATED,
-        /** It is larger than the limit. */
+        /** The file is larger than the limit. */
         HUGE,
-        /** The system does not let it be read. */
+        /** Reading the file failed. */
         UNREADABLE
     }
 
-    private final Cause why;
+    private final Cause reason;
 
-    SnapshotException(Cause why, String words) {
-        super(words);
-        this.why = why;
+    SnapshotException(Cause reason, String message) {
+        super(message);
+        this.reason = reason;
     }
 
-    /** The cause. */
-    public Cause why() {
-        return why;
+    /** Returns why the snapshot can't be used. */
+    public Cause reason() {
+        return reason;
     }
 }
--- a/src/main/java/cairnline/store/SnapshotFolder.java
+++ b/src/main/java/cairnline/store/SnapshotFolder.java
@@ -11,46 +11,49 @@
 import java.util.regex.Pattern;
 
 /**
- * Generations of snapshots in a folder. They are numbered, and the highest number is the newest: a clock that is set
- * back changes no order. A generation is whole or not there: its bytes are on the disk before it has its name.
+ * Reads and writes generations of snapshots in a folder. They are numbered, and the highest number is the newest, so that a
+ * clock that is set back does not change their order. Generations are written atomically: the content is on disk before the
+ * temporary file is renamed.
  */
 public final class SnapshotFolder {
-    private static final Pattern NAME = Pattern.compile("list-(\\d{16})\\.snap");
-    private static final String UNFINISHED = "list.tmp";
+    private static final Pattern SNAPSHOT_NAME = Pattern.compile("list-(\\d{16})\\.snap");
+    private static final String TEMPORARY_FILE = "list.tmp";
 
-    private final SnapshotStorage disk;
+    private final SnapshotStorage storage;
     private final StoreSettings settings;
     private final EventSink log;
 
-    SnapshotFolder(SnapshotStorage disk, StoreSettings settings, EventSink log) {
-        this.disk = disk;
+    SnapshotFolder(SnapshotStorage storage, StoreSettings settings, EventSink log) {
+        this.storage = storage;
         this.settings = settings;
         this.log = log;
     }
 
-    /** The snapshots in a folder, which need not be there yet. */
+    /** Creates access to the snapshots in a folder, which need not exist yet. */
     public SnapshotFolder(Path folder, StoreSettings settings, EventSink log) {
         this(new FileSystemStorage(folder), settings, log);
     }
 
     /**
-     * The newest that can be used; null if there is none. Each that can't be is skipped with one event. Never throws:
-     * whatever lies there must not keep the program from its start.
+     * Returns the newest usable snapshot, or null if there is none. Logs one event for each snapshot that is skipped.
+     * Never throws: no content of the folder may prevent the program from starting.
+     *
+     * @param now microseconds since the Unix epoch
      */
-    public Snapshot newest(long now) {
+    public Snapshot loadNewest(long now) {
         List<Long> numbers;
         try {
-            numbers = numbers();
+            numbers = generationNumbers();
         } catch (IOException | RuntimeException e) {
-            log.warn("snapshot.folder.unreadable", "the kept list can't be read", "cause", e);
+            log.warn("snapshot.folder.unreadable", "the snapshot folder can't be read", "cause", e);
             return null;
         }
         for (int i = numbers.size() - 1; i >= 0; i--) {
-            String name = name(numbers.get(i));
+            String name = fileName(numbers.get(i));
             try {
                 return read(name, now);
             } catch (SnapshotException e) {
-                log.warn("snapshot.skipped", "a kept list is skipped: " + e.getMessage(), "file", name, "cause",
+                log.warn("snapshot.skipped", "snapshot skipped: " + e.getMessage(), "file", name, "cause",
                         e.reason());
             }
         }
@@ -60,50 +63,51 @@
     private Snapshot read(String name, long now) throws SnapshotException {
         byte[] bytes;
         try {
-            long size = disk.size(name);
-            if (size > settings.maxBytes()) {
-                throw new SnapshotException(Cause.HUGE, size + " bytes are more than " + settings.maxBytes());
+            long size = storage.size(name);
+            if (size > settings.maxFileBytes()) {
+                throw new SnapshotException(Cause.HUGE, size + " bytes exceed the limit of " + settings.maxFileBytes());
             }
-            bytes = disk.read(name);
+            bytes = storage.read(name);
         } catch (IOException | RuntimeException | OutOfMemoryError e) {
             throw new SnapshotException(Cause.UNREADABLE, String.valueOf(e));
         }
         Snapshot snapshot = SnapshotCodec.decode(bytes);
-        if (snapshot.savedAt() - now > settings.clocksDiffer()) {
+        if (snapshot.savedAt() - now > settings.maxClockSkew()) {
             throw new SnapshotException(Cause.FUTURE_DATED,
-                    "it was saved " + (snapshot.savedAt() - now) / 1_000_000 + " s from now");
+                    "the snapshot is dated " + (snapshot.savedAt() - now) / 1_000_000 + " s in the future");
         }
         return snapshot;
     }
 
-    /** Writes the next generation and takes those away that are too many; throws if it is not on the disk. */
+    /** Writes the next generation and deletes excess old ones; throws if the new one is not on disk. */
     void write(byte[] bytes) throws IOException {
-        if (bytes.length > settings.maxBytes()) {
-            throw new IOException("the list takes " + bytes.length + " bytes, more than " + settings.maxBytes());
+        if (bytes.length > settings.maxFileBytes()) {
+            throw new IOException("the snapshot has " + bytes.length + " bytes, which exceeds the limit of "
+                    + settings.maxFileBytes());
         }
-        disk.own();
-        List<Long> numbers = numbers();
+        storage.acquireLock();
+        List<Long> numbers = generationNumbers();
         long next = numbers.isEmpty() ? 1 : numbers.get(numbers.size() - 1) + 1;
         try {
-            disk.write(UNFINISHED, bytes);
+            storage.write(TEMPORARY_FILE, bytes);
         } catch (IOException e) {
-            // On a full disk half a file would take the room that the next try needs.
-            disk.delete(UNFINISHED);
+            // On a full disk a partial file would occupy the space that the next attempt needs.
+            storage.delete(TEMPORARY_FILE);
             throw e;
         }
-        disk.rename(UNFINISHED, name(next));
-        disk.sync();
+        storage.rename(TEMPORARY_FILE, fileName(next));
+        storage.sync();
         for (int i = 0; i < numbers.size() - (settings.generations() - 1); i++) {
-            disk.delete(name(numbers.get(i)));
+            storage.delete(fileName(numbers.get(i)));
         }
     }
 
-    private List<Long> numbers() throws IOException {
-        return disk.names().stream().map(NAME::matcher).filter(Matcher::matches).map(m -> Long.valueOf(m.group(1)))
-                .sorted(Comparator.naturalOrder()).toList();
+    private List<Long> generationNumbers() throws IOException {
+        return storage.listFiles().stream().map(SNAPSHOT_NAME::matcher).filter(Matcher::matches)
+                .map(m -> Long.valueOf(m.group(1))).sorted(Comparator.naturalOrder()).toList();
     }
 
-    private static String name(long number) {
+    private static String fileName(long number) {
         return String.format(Locale.ROOT, "list-%016d.snap", number);
     }
 }
--- a/src/main/java/cairnline/store/SnapshotStorage.java
+++ b/src/main/java/cairnline/store/SnapshotStorage.java
@@ -3,29 +3,29 @@
 import java.io.IOException;
 import java.util.List;
 
-/** The few things that snapshots ask of a folder; a test's disk fails where it likes. Names are of files in it. */
+/** The file operations of {@link SnapshotFolder}, replaced by tests to inject failures. Names are of files in one folder. */
 interface SnapshotStorage {
-    /** All that it holds; nothing if there is no such folder. */
-    List<String> names() throws IOException;
+    /** Returns the names of all files, or an empty list if the folder does not exist. */
+    List<String> listFiles() throws IOException;
 
-    /** The size of a file, in bytes. */
+    /** Returns the size of a file in bytes. */
     long size(String name) throws IOException;
 
-    /** A whole file. */
+    /** Reads a file completely. */
     byte[] read(String name) throws IOException;
 
-    /** Takes the folder for this process alone, making it where it is missing; fails if another process has it. */
-    void own() throws IOException;
+    /** Creates the folder if it is missing and locks it for this process; fails if another process holds the lock. */
+    void acquireLock() throws IOException;
 
-    /** Writes a file from its start and waits until its bytes are on the disk. */
+    /** Creates or replaces a file and waits until its content is on disk. */
     void write(String name, byte[] bytes) throws IOException;
 
-    /** Puts a file in another's place in one step. */
+    /** Renames a file atomically, replacing the target. */
     void rename(String from, String to) throws IOException;
 
-    /** Waits until names of before are on the disk. */
+    /** Waits until preceding renames are on disk. */
     void sync() throws IOException;
 
-    /** Takes a file away, if it is there. */
+    /** Deletes a file if it exists. */
     void delete(String name) throws IOException;
 }
--- a/src/main/java/cairnline/store/SnapshotWriter.java
+++ b/src/main/java/cairnline/store/SnapshotWriter.java
@@ -10,11 +10,11 @@
 import java.util.function.LongSupplier;
 
 /**
- * Writes the list on a thread of its own: whoever hands over a view waits for no disk. A view that comes while another
- * waits takes its place. Whatever fails is tried again, and service goes on.
+ * Writes the engine list on a dedicated thread, so that callers never wait for the disk. A new view replaces one that has not
+ * been written yet. Failed writes are retried; they do not affect service. Thread-safe.
  */
 public final class SnapshotWriter implements Keeper {
-    private static final int STACK = 256 * 1024;
+    private static final int STACK_SIZE_BYTES = 256 * 1024;
 
     private final SnapshotFolder folder;
     private final StoreSettings settings;
@@ -22,22 +22,22 @@
     private final LongSupplier clock;
     private final ReentrantLock lock = new ReentrantLock();
     private final Condition changed = lock.newCondition();
-    private final WriteSchedule cadence;
+    private final WriteSchedule schedule;
     private View pending;
-    private boolean busy;
+    private boolean writing;
 
-    /** A keeper that does not run yet; {@code clock} gives microseconds from the Unix epoch. */
+    /** Creates a writer that is not started; {@code clock} returns microseconds since the Unix epoch. */
     public SnapshotWriter(SnapshotFolder folder, StoreSettings settings, EventSink log, LongSupplier clock) {
         this.folder = folder;
         this.settings = settings;
         this.log = log;
         this.clock = clock;
-        this.cadence = new WriteSchedule(settings);
+        this.schedule = new WriteSchedule(settings);
     }
 
-    /** Starts its thread. */
+    /** Starts the writing thread. */
     public void start() {
-        Thread thread = new Thread(null, this::run, "store", STACK);
+        Thread thread = new Thread(null, this::run, "store", STACK_SIZE_BYTES);
         thread.setDaemon(true);
         thread.start();
     }
@@ -47,7 +47,7 @@
         lock.lock();
         try {
             pending = view;
-            cadence.want(urgent);
+            schedule.requestWrite(urgent);
             changed.signalAll();
         } finally {
             lock.unlock();
@@ -56,16 +56,16 @@
 
     @Override
     public long every() {
-        return settings.every();
+        return settings.writeInterval();
     }
 
-    /** Waits until what may be written by now has been, this long at most, in microseconds. */
-    public void flush(long most) {
+    /** Waits until every view that may be written by now has been written, for at most this time. */
+    public void flush(long timeoutMicros) {
         lock.lock();
         try {
-            long left = TimeUnit.MICROSECONDS.toNanos(most);
-            while (left > 0 && (busy || pending != null && cadence.due() <= clock.getAsLong())) {
-                left = changed.awaitNanos(left);
+            long remainingNanos = TimeUnit.MICROSECONDS.toNanos(timeoutMicros);
+            while (remainingNanos > 0 && (writing || pending != null && schedule.nextWriteAt() <= clock.getAsLong())) {
+                remainingNanos = changed.awaitNanos(remainingNanos);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -77,36 +77,36 @@
     private void run() {
         try {
             while (true) {
-                View view = next();
+                View view = awaitNextView();
                 String cause = write(view);
-                done(view, cause);
+                completeWrite(view, cause);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private View next() throws InterruptedException {
+    private View awaitNextView() throws InterruptedException {
         lock.lockInterruptibly();
         try {
-            for (long due = cadence.due(); due > clock.getAsLong(); due = cadence.due()) {
-                if (due == Long.MAX_VALUE) {
+            for (long nextWrite = schedule.nextWriteAt(); nextWrite > clock.getAsLong(); nextWrite = schedule.nextWriteAt()) {
+                if (nextWrite == Long.MAX_VALUE) {
                     changed.await();
                 } else {
-                    changed.await(due - clock.getAsLong(), TimeUnit.MICROSECONDS);
+                    changed.await(nextWrite - clock.getAsLong(), TimeUnit.MICROSECONDS);
                 }
             }
             View view = pending;
             pending = null;
-            busy = true;
-            cadence.begin(clock.getAsLong());
+            writing = true;
+            schedule.writeStarted(clock.getAsLong());
             return view;
         } finally {
             lock.unlock();
         }
     }
 
-    /** Null if it is on the disk, else why not. */
+    /** Returns null if the view is on disk, otherwise the cause of the failure. */
     private String write(View view) {
         try {
             folder.write(SnapshotCodec.encode(new Snapshot(view.takenAt(), view.remembered())));
@@ -116,18 +116,18 @@
         }
     }
 
-    private void done(View view, String cause) {
+    private void completeWrite(View view, String cause) {
         lock.lock();
         try {
-            busy = false;
+            writing = false;
             if (cause == null) {
-                if (cadence.succeeded(clock.getAsLong())) {
-                    log.info("snapshot.kept.again", "the list can be kept again", "engines", view.size());
+                if (schedule.writeSucceeded(clock.getAsLong())) {
+                    log.info("snapshot.kept.again", "writing snapshots works again", "engines", view.size());
                 }
             } else {
                 pending = pending == null ? view : pending;
-                if (cadence.failed(clock.getAsLong(), cause)) {
-                    log.warn("snapshot.failed", "the list can't be kept; it is tried again", "cause", cause);
+                if (schedule.writeFailed(clock.getAsLong(), cause)) {
+                    log.warn("snapshot.failed", "writing a snapshot failed; it will be retried", "cause", cause);
                 }
             }
             changed.signalAll();
--- a/src/main/java/cairnline/store/StoreSettings.java
+++ b/src/main/java/cairnline/store/StoreSettings.java
@@ -1,31 +1,31 @@
 package cairnline.store;
 
 /**
- * The limits of the kept list; times in microseconds, sizes in bytes.
+ * Settings of the stored engine list; times in microseconds, sizes in bytes.
  *
- * @param generations files that are kept
- * @param every between two writes while nothing urgent happens
- * @param writesPerMinute writes at most, urgent ones and failed ones included
- * @param maxBytes of one file; a larger one is neither written nor read
- * @param clocksDiffer a file dated later than now by more than this is skipped
- * @param pauseLeast after a failed write, the first time
- * @param pauseMost to which such pauses grow
+ * @param generations number of snapshot files that are kept
+ * @param writeInterval time between two writes that are not urgent
+ * @param maxWritesPerMinute limit that includes urgent and failed writes
+ * @param maxFileBytes maximum size of a snapshot file; larger ones are neither written nor read
+ * @param maxClockSkew snapshots dated further in the future are skipped
+ * @param minBackoff back-off after the first failed write
+ * @param maxBackoff limit to which the back-off doubles
  */
-public record StoreSettings(int generations, long every, int writesPerMinute, int maxBytes, long clocksDiffer,
-                            long pauseLeast, long pauseMost) {
-    private static final long SECOND = 1_000_000;
+public record StoreSettings(int generations, long writeInterval, int maxWritesPerMinute, int maxFileBytes, long maxClockSkew,
+                            long minBackoff, long maxBackoff) {
+    private static final long SECOND_MICROS = 1_000_000;
 
-    /** Rejects what contradicts itself; the settings' schema tells it first, with its place. */
+    /** Rejects values out of range; the settings schema reports them earlier, with their position in the file. */
     public StoreSettings {
-        if (generations < 1 || every <= 0 || writesPerMinute < 1 || maxBytes < 1 || clocksDiffer < 0 || pauseLeast <= 0
-                || pauseMost < pauseLeast) {
-            throw new IllegalArgumentException("store settings out of range: " + generations + " " + every + " "
-                    + writesPerMinute + " " + maxBytes + " " + clocksDiffer + " " + pauseLeast + " " + pauseMost);
+        if (generations < 1 || writeInterval <= 0 || maxWritesPerMinute < 1 || maxFileBytes < 1 || maxClockSkew < 0
+                || minBackoff <= 0 || maxBackoff < minBackoff) {
+            throw new IllegalArgumentException("store settings out of range: " + generations + " " + writeInterval + " "
+                    + maxWritesPerMinute + " " + maxFileBytes + " " + maxClockSkew + " " + minBackoff + " " + maxBackoff);
         }
     }
 
-    /** What holds where nothing is set. */
-    public static StoreSettings usual() {
-        return new StoreSettings(4, 10 * SECOND, 30, 16 << 20, 7_200 * SECOND, SECOND, 60 * SECOND);
+    /** Returns the defaults of the settings schema. */
+    public static StoreSettings defaults() {
+        return new StoreSettings(4, 10 * SECOND_MICROS, 30, 16 << 20, 7_200 * SECOND_MICROS, SECOND_MICROS, 60 * SECOND_MICROS);
     }
 }
--- a/src/main/java/cairnline/store/WriteSchedule.java
+++ b/src/main/java/cairnline/store/WriteSchedule.java
@@ -5,71 +5,73 @@
 import java.util.Set;
 
 /**
- * When the next snapshot is written: urgent ones at once, others at their pace, none past the bound on writes a minute,
- * and after a failure not before a pause that doubles. Also which failures are worth an event: each cause once, until a
- * write succeeds. It does no I/O and reads no clock; times are microseconds.
+ * Decides when the next snapshot is written: urgent ones immediately, others at the write interval, all subject to the limit
+ * on writes per minute and, after a failure, to an exponential back-off. Also decides which failures are logged: each cause
+ * once until a write succeeds. Does no I/O and reads no clock; times are in microseconds. Not thread-safe.
  */
 final class WriteSchedule {
-    static final long MINUTE = 60_000_000;
+    static final long MINUTE_MICROS = 60_000_000;
 
     private final StoreSettings settings;
-    private final ArrayDeque<Long> writes = new ArrayDeque<>();
-    private final Set<String> told = new HashSet<>();
-    private boolean wanted;
-    private boolean urgent;
-    /** Whether what is being written, or failed to be, is urgent. */
-    private boolean writing;
-    private long writtenAt = Long.MIN_VALUE / 2;
-    private long notBefore = Long.MIN_VALUE;
-    private long pause;
+    private final ArrayDeque<Long> writeStartTimes = new ArrayDeque<>();
+    private final Set<String> reportedCauses = new HashSet<>();
+    private boolean writeRequested;
+    private boolean urgentRequested;
+    /** Whether the write that was started last is urgent. */
+    private boolean currentUrgent;
+    private long lastSuccessAt = Long.MIN_VALUE / 2;
+    private long earliestRetryAt = Long.MIN_VALUE;
+    private long backoff;
 
     WriteSchedule(StoreSettings settings) {
         this.settings = settings;
     }
 
-    /** There is something to write. */
-    void want(boolean isUrgent) {
-        wanted = true;
-        urgent |= isUrgent;
+    /** Requests a write. */
+    void requestWrite(boolean urgent) {
+        writeRequested = true;
+        urgentRequested |= urgent;
     }
 
-    /** When it may be written; never if there is nothing. */
-    long due() {
-        if (!wanted) {
+    /** Returns the earliest time of the next write, or {@link Long#MAX_VALUE} if none is requested. */
+    long nextWriteAt() {
+        if (!writeRequested) {
             return Long.MAX_VALUE;
         }
-        long bound = writes.size() < settings.writesPerMinute() ? Long.MIN_VALUE : writes.peekFirst() + MINUTE;
-        return Math.max(Math.max(notBefore, bound), urgent ? Long.MIN_VALUE : writtenAt + settings.every());
+        long rateLimitedUntil = writeStartTimes.size() < settings.maxWritesPerMinute() ? Long.MIN_VALUE
+                : writeStartTimes.peekFirst() + MINUTE_MICROS;
+        return Math.max(Math.max(earliestRetryAt, rateLimitedUntil),
+                urgentRequested ? Long.MIN_VALUE : lastSuccessAt + settings.writeInterval());
     }
 
-    /** A write begins, whatever comes of it. */
-    void begin(long now) {
-        writes.addLast(now);
-        while (writes.size() > settings.writesPerMinute()) {
-            writes.pollFirst();
+    /** Records the start of a write, which counts towards the limit whether or not it succeeds. */
+    void writeStarted(long now) {
+        writeStartTimes.addLast(now);
+        while (writeStartTimes.size() > settings.maxWritesPerMinute()) {
+            writeStartTimes.pollFirst();
         }
-        wanted = false;
-        writing = urgent;
-        urgent = false;
+        writeRequested = false;
+        currentUrgent = urgentRequested;
+        urgentRequested = false;
     }
 
-    /** It succeeded; true if one before it had failed. */
-    boolean succeeded(long now) {
-        boolean mended = !told.isEmpty();
-        told.clear();
-        writtenAt = now;
-        pause = 0;
-        notBefore = Long.MIN_VALUE;
-        return mended;
+    /** Records that the write succeeded; returns true if the one before it had failed. */
+    boolean writeSucceeded(long now) {
+        boolean hadFailed = !reportedCauses.isEmpty();
+        reportedCauses.clear();
+        lastSuccessAt = now;
+        backoff = 0;
+        earliestRetryAt = Long.MIN_VALUE;
+        return hadFailed;
     }
 
-    /** It failed and is tried again; true if this cause has not been told since the last success. */
-    boolean failed(long now, String cause) {
-        wanted = true;
-        urgent |= writing;
-        pause = Math.min(settings.pauseMost(), Math.max(settings.pauseLeast(), 2 * pause));
-        notBefore = now + pause;
-        // Sizes and numbers in the words make no other cause.
-        return told.add(cause.replaceAll("[0-9]+", "0"));
+    /** Requests a retry of a failed write; returns true if this cause has not been reported since the last success. */
+    boolean writeFailed(long now, String cause) {
+        writeRequested = true;
+        urgentRequested |= currentUrgent;
+        backoff = Math.min(settings.maxBackoff(), Math.max(settings.minBackoff(), 2 * backoff));
+        earliestRetryAt = now + backoff;
+        // Messages that differ only in numbers, such as sizes, count as the same cause.
+        return reportedCauses.add(cause.replaceAll("[0-9]+", "0"));
     }
 }
--- a/src/test/java/cairnline/store/RecordingEventSink.java
+++ b/src/test/java/cairnline/store/RecordingEventSink.java
@@ -4,27 +4,27 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Events as a test counts them: the name, and the cause if one is told. */
+/** Records each event as its name, followed by the value of the key {@code cause} if there is one. */
 final class RecordingEventSink implements EventSink {
-    private final List<String> all = new ArrayList<>();
+    private final List<String> events = new ArrayList<>();
 
     @Override
-    public synchronized void event(Severity severity, String name, String words, Object... pairs) {
+    public synchronized void log(Severity severity, String name, String message, Object... pairs) {
         String cause = "";
         for (int i = 0; i + 1 < pairs.length; i += 2) {
             cause = pairs[i].equals("cause") ? " " + pairs[i + 1] : cause;
         }
-        all.add(name + cause);
+        events.add(name + cause);
         notifyAll();
     }
 
-    synchronized List<String> all() {
-        return List.copyOf(all);
+    synchronized List<String> events() {
+        return List.copyOf(events);
     }
 
-    /** Waits for this event. */
+    /** Waits until an event whose text starts with this name has been logged. */
     synchronized void await(String name) throws InterruptedException {
-        while (all.stream().noneMatch(each -> each.startsWith(name))) {
+        while (events.stream().noneMatch(event -> event.startsWith(name))) {
             wait(10_000);
         }
     }
--- a/src/test/java/cairnline/store/SnapshotCodecTest.java
+++ b/src/test/java/cairnline/store/SnapshotCodecTest.java
@@ -25,16 +25,16 @@
 
 class SnapshotCodecTest {
     static Snapshot snapshot(int engines, long savedAt) {
-        List<Remembered> all = new ArrayList<>();
+        List<Remembered> stored = new ArrayList<>();
         for (int i = 0; i < engines; i++) {
             ListedEngine engine = new ListedEngine("s-" + i, "127.0.0.1:" + (1_024 + i), Listed.READY, "dc1", "std16",
                     i % 3, 4, 0);
-            all.add(new Remembered(engine, State.TOLD, savedAt - i, savedAt));
+            stored.add(new Remembered(engine, State.TOLD, savedAt - i, savedAt));
         }
-        return new Snapshot(savedAt, all);
+        return new Snapshot(savedAt, stored);
     }
 
-    private static Cause cause(byte[] bytes) {
+    private static Cause decodingFailure(byte[] bytes) {
         return assertThrows(SnapshotException.class, () -> SnapshotCodec.decode(bytes)).reason();
     }
 
@@ -49,58 +49,58 @@
     }
 
     @Property(tries = 200)
-    void whatIsWrittenIsRead(@ForAll("lists") List<Remembered> engines, @ForAll long savedAt) throws Exception {
+    void decodesWhatItEncoded(@ForAll("engineLists") List<Remembered> engines, @ForAll long savedAt) throws Exception {
         Snapshot snapshot = new Snapshot(savedAt, engines);
         assertEquals(snapshot, SnapshotCodec.decode(SnapshotCodec.encode(snapshot)));
     }
 
     @Provide
-    Arbitrary<List<Remembered>> lists() {
+    Arbitrary<List<Remembered>> engineLists() {
         return engines().list().ofMaxSize(20);
     }
 
     @Property(tries = 2_000)
-    void noiseNeverPasses(@ForAll byte[] noise) {
-        cause(noise);
+    void rejectsRandomBytes(@ForAll byte[] noise) {
+        decodingFailure(noise);
     }
 
     @Test
-    void aSnapshotCutAtAnyByteIsCut() {
-        byte[] whole = SnapshotCodec.encode(snapshot(5, 1_000_000));
-        for (int length = 0; length < whole.length; length++) {
-            assertEquals(Cause.CUT, cause(Arrays.copyOf(whole, length)), "cut at " + length);
+    void reportsTruncationAtAnyLength() {
+        byte[] encoded = SnapshotCodec.encode(snapshot(5, 1_000_000));
+        for (int length = 0; length < encoded.length; length++) {
+            assertEquals(Cause.CUT, decodingFailure(Arrays.copyOf(encoded, length)), "truncated to " + length);
         }
     }
 
     @Test
-    void aSnapshotWithAnyByteFlippedIsSkipped() {
-        byte[] whole = SnapshotCodec.encode(snapshot(5, 1_000_000));
-        Set<Cause> seen = EnumSet.noneOf(Cause.class);
-        for (int i = 0; i < whole.length; i++) {
+    void rejectsSnapshotWithAnyBitFlipped() {
+        byte[] encoded = SnapshotCodec.encode(snapshot(5, 1_000_000));
+        Set<Cause> causes = EnumSet.noneOf(Cause.class);
+        for (int i = 0; i < encoded.length; i++) {
             for (int bit = 0; bit < 8; bit++) {
-                byte[] flipped = whole.clone();
+                byte[] flipped = encoded.clone();
                 flipped[i] ^= (byte) (1 << bit);
-                seen.add(cause(flipped));
+                causes.add(decodingFailure(flipped));
             }
         }
-        assertEquals(EnumSet.of(Cause.DAMAGED, Cause.FOREIGN, Cause.NEWER_VERSION, Cause.CUT), seen);
+        assertEquals(EnumSet.of(Cause.DAMAGED, Cause.FOREIGN, Cause.NEWER_VERSION, Cause.CUT), causes);
     }
 
     @Test
-    void aLaterVersionIsKnownAsOneWhateverFollows() {
-        byte[] whole = SnapshotCodec.encode(snapshot(1, 1_000_000));
-        ByteBuffer.wrap(whole).putShort(8, (short) (SnapshotCodec.VERSION + 1));
-        assertEquals(Cause.NEWER_VERSION, cause(whole));
+    void recognisesNewerVersionWhateverItsContent() {
+        byte[] encoded = SnapshotCodec.encode(snapshot(1, 1_000_000));
+        ByteBuffer.wrap(encoded).putShort(8, (short) (SnapshotCodec.VERSION + 1));
+        assertEquals(Cause.NEWER_VERSION, decodingFailure(encoded));
     }
 
     @Test
-    void aTextThatIsTooLongIsNoReasonToWriteHalf() {
+    void refusesToEncodeTextThatIsTooLong() {
         ListedEngine engine = new ListedEngine("s".repeat(70_000), "a", Listed.READY, "z", "k", 0, 1, 0);
         try {
             SnapshotCodec.encode(new Snapshot(0, List.of(new Remembered(engine, State.TOLD, 0, 0))));
-            fail("it was written");
+            fail("the snapshot was encoded");
         } catch (IllegalArgumentException e) {
-            assertEquals("a text of 70000 bytes", e.getMessage());
+            assertEquals("text exceeds 65535 bytes: 70000 bytes", e.getMessage());
         }
     }
 }
--- a/src/test/java/cairnline/store/SnapshotFolderTest.java
+++ b/src/test/java/cairnline/store/SnapshotFolderTest.java
@@ -29,216 +29,218 @@
     @TempDir
     Path folder;
 
-    private final RecordingEventSink told = new RecordingEventSink();
+    private final RecordingEventSink events = new RecordingEventSink();
     private final StoreSettings settings = StoreSettings.defaults();
 
-    /** A disk that fails at its n-th step, as a machine that dies there or a full disk does. */
-    private static final class FailingDisk implements SnapshotStorage {
-        private final SnapshotStorage disk;
-        private int left;
+    /** Storage that fails once at its n-th step, as a full disk or a crash would; a failing write leaves half of the file. */
+    private static final class FailingStorage implements SnapshotStorage {
+        private final SnapshotStorage storage;
+        private int stepsBeforeFailure;
 
-        FailingDisk(SnapshotStorage disk, int left) {
-            this.disk = disk;
-            this.left = left;
+        FailingStorage(SnapshotStorage storage, int stepsBeforeFailure) {
+            this.storage = storage;
+            this.stepsBeforeFailure = stepsBeforeFailure;
         }
 
-        private void step(String what) throws IOException {
-            if (left-- == 0) {
-                throw new IOException("No space left on device: " + what);
+        private void step(String operation) throws IOException {
+            if (stepsBeforeFailure-- == 0) {
+                throw new IOException("No space left on device: " + operation);
             }
         }
 
         @Override
-        public List<String> names() throws IOException {
+        public List<String> listFiles() throws IOException {
             step("names");
-            return disk.names();
+            return storage.listFiles();
         }
 
         @Override
         public long size(String name) throws IOException {
-            return disk.size(name);
+            return storage.size(name);
         }
 
         @Override
         public byte[] read(String name) throws IOException {
-            return disk.read(name);
+            return storage.read(name);
         }
 
         @Override
-        public void own() throws IOException {
+        public void acquireLock() throws IOException {
             step("own");
-            disk.own();
+            storage.acquireLock();
         }
 
         @Override
         public void write(String name, byte[] bytes) throws IOException {
-            if (left == 0) {
-                disk.write(name, Arrays.copyOf(bytes, bytes.length / 2));
+            if (stepsBeforeFailure == 0) {
+                storage.write(name, Arrays.copyOf(bytes, bytes.length / 2));
             }
             step("write");
-            disk.write(name, bytes);
+            storage.write(name, bytes);
         }
 
         @Override
         public void rename(String from, String to) throws IOException {
             step("rename");
-            disk.rename(from, to);
+            storage.rename(from, to);
         }
 
         @Override
         public void sync() throws IOException {
             step("sync");
-            disk.sync();
+            storage.sync();
         }
 
         @Override
         public void delete(String name) throws IOException {
             step("delete");
-            disk.delete(name);
+            storage.delete(name);
         }
     }
 
-    private SnapshotFolder open() {
-        return new SnapshotFolder(folder, settings, told);
+    private SnapshotFolder openFolder() {
+        return new SnapshotFolder(folder, settings, events);
     }
 
     private static byte[] bytes(int engines, long savedAt) {
         return SnapshotCodec.encode(SnapshotCodecTest.snapshot(engines, savedAt));
     }
 
-    private List<Path> generations() throws IOException {
+    private List<Path> snapshotFiles() throws IOException {
         try (Stream<Path> files = Files.list(folder)) {
             return files.filter(f -> f.toString().endsWith(".snap")).sorted().toList();
         }
     }
 
     private int engines(long now) {
-        Snapshot newest = open().loadNewest(now);
+        Snapshot newest = openFolder().loadNewest(now);
         return newest == null ? 0 : newest.engines().size();
     }
 
     @Test
-    void generationsAreKeptAndTheNewestIsRead() throws IOException {
-        SnapshotFolder each = open();
+    void keepsConfiguredGenerationsAndReadsTheNewest() throws IOException {
+        SnapshotFolder snapshots = openFolder();
         for (int i = 1; i <= 7; i++) {
-            each.write(bytes(i, NOW + i));
+            snapshots.write(bytes(i, NOW + i));
         }
-        assertEquals(settings.generations(), generations().size());
+        assertEquals(settings.generations(), snapshotFiles().size());
         assertEquals(7, engines(NOW));
-        assertEquals(List.of(), told.all());
+        assertEquals(List.of(), events.events());
     }
 
     @Test
-    void whatCantBeUsedIsSkippedWithOneEventEachAndTheNextOlderOneIsUsed() throws IOException {
-        SnapshotFolder each = open();
+    void skipsUnusableSnapshotsWithOneEventEachAndUsesTheNextOlder() throws IOException {
+        SnapshotFolder snapshots = openFolder();
         for (int i = 1; i <= 4; i++) {
-            each.write(bytes(i, NOW));
+            snapshots.write(bytes(i, NOW));
         }
-        List<Path> files = generations();
+        List<Path> files = snapshotFiles();
         Files.write(files.get(3), new byte[] {1, 2, 3});
         Files.write(files.get(2), Arrays.copyOf(bytes(3, NOW), 60));
         byte[] damaged = bytes(2, NOW);
         damaged[70] ^= 1;
         Files.write(files.get(1), damaged);
         assertEquals(1, engines(NOW));
-        assertEquals(List.of("snapshot.skipped FOREIGN", "snapshot.skipped CUT", "snapshot.skipped DAMAGED"), told.all());
+        assertEquals(List.of("snapshot.skipped FOREIGN", "snapshot.skipped CUT", "snapshot.skipped DAMAGED"), events.events());
         Files.delete(files.get(0));
-        assertNull(open().loadNewest(NOW), "none is left, and the start goes on");
+        assertNull(openFolder().loadNewest(NOW), "without a usable snapshot the start continues");
     }
 
     @Test
-    void hugeUnreadableAndLaterFilesAreSkippedToo() throws IOException {
-        SnapshotFolder each = open();
-        each.write(bytes(1, NOW));
-        each.write(bytes(2, NOW));
-        Path huge = folder.resolve("list-0000000000000009.snap");
+    void skipsOversizedAndUnreadableFiles() throws IOException {
+        SnapshotFolder snapshots = openFolder();
+        snapshots.write(bytes(1, NOW));
+        snapshots.write(bytes(2, NOW));
+        Path oversized = folder.resolve("list-0000000000000009.snap");
         Files.createDirectory(folder.resolve("list-0000000000000008.snap"));
-        Files.write(huge, new byte[settings.maxBytes() + 1], StandardOpenOption.CREATE);
+        Files.write(oversized, new byte[settings.maxFileBytes() + 1], StandardOpenOption.CREATE);
         assertEquals(2, engines(NOW));
-        assertEquals("snapshot.skipped HUGE", told.all().get(0));
-        assertTrue(told.all().get(1).startsWith("snapshot.skipped UNREADABLE"), told.all().get(1));
-        assertThrows(IOException.class, () -> open().write(new byte[settings.maxBytes() + 1]));
+        assertEquals("snapshot.skipped HUGE", events.events().get(0));
+        assertTrue(events.events().get(1).startsWith("snapshot.skipped UNREADABLE"), events.events().get(1));
+        assertThrows(IOException.class, () -> openFolder().write(new byte[settings.maxFileBytes() + 1]));
     }
 
     @Test
-    void aSnapshotDatedTomorrowIsSkippedAndAClockSetBackAnHourIsNoReasonTo() throws IOException {
-        SnapshotFolder each = open();
-        each.write(bytes(1, NOW + HOUR));
-        each.write(bytes(2, NOW + 24 * HOUR));
-        assertEquals(1, engines(NOW), "an hour later than now, as after a clock was set back");
-        assertEquals(List.of("snapshot.skipped FUTURE_DATED"), told.all());
-        // What is written from now on is newer by its number, whatever the clock says.
-        each.write(bytes(3, NOW));
+    void skipsSnapshotDatedTomorrowButNotAfterClockIsSetBackAnHour() throws IOException {
+        SnapshotFolder snapshots = openFolder();
+        snapshots.write(bytes(1, NOW + HOUR));
+        snapshots.write(bytes(2, NOW + 24 * HOUR));
+        assertEquals(1, engines(NOW), "a snapshot dated an hour ahead, as after the clock was set back");
+        assertEquals(List.of("snapshot.skipped FUTURE_DATED"), events.events());
+        // A snapshot written later is newer by its number, whatever its date.
+        snapshots.write(bytes(3, NOW));
         assertEquals(3, engines(NOW));
     }
 
     @Test
-    void aFailureAtAnyStepLeavesTheOldOrTheNewWhole() throws IOException {
-        open().write(bytes(1, NOW));
+    void failureAtAnyStepLeavesOldOrNewSnapshotIntact() throws IOException {
+        openFolder().write(bytes(1, NOW));
         int failed = 0;
         for (int step = 0; step < 20; step++) {
-            int before = engines(NOW);
+            int previous = engines(NOW);
             try {
-                new SnapshotFolder(new FailingDisk(new FileSystemStorage(folder), step), settings, told).write(bytes(before + 1, NOW));
+                new SnapshotFolder(new FailingStorage(new FileSystemStorage(folder), step), settings, events)
+                        .write(bytes(previous + 1, NOW));
             } catch (IOException e) {
                 failed++;
             }
-            int after = engines(NOW);
-            assertTrue(after == before || after == before + 1, "step " + step + ": " + before + " became " + after);
+            int current = engines(NOW);
+            assertTrue(current == previous || current == previous + 1, "step " + step + ": " + previous + " became " + current);
         }
-        assertTrue(failed >= 5, "every step was made to fail: " + failed);
-        assertEquals(List.of(), told.all(), "nothing that was half written was ever read");
+        assertTrue(failed >= 5, "too few steps failed: " + failed);
+        assertEquals(List.of(), events.events(), "no partially written snapshot was read");
     }
 
     @Test
-    void aFolderThatIsMissingIsMadeAndOneThatIsAFileIsAnErrorOnly() throws IOException {
-        SnapshotFolder deep = new SnapshotFolder(folder.resolve("a/b"), settings, told);
-        assertNull(deep.loadNewest(NOW));
-        deep.write(bytes(1, NOW));
-        assertNotNull(deep.loadNewest(NOW));
+    void createsMissingFolderAndFailsIfThePathIsAFile() throws IOException {
+        SnapshotFolder missingFolder = new SnapshotFolder(folder.resolve("a/b"), settings, events);
+        assertNull(missingFolder.loadNewest(NOW));
+        missingFolder.write(bytes(1, NOW));
+        assertNotNull(missingFolder.loadNewest(NOW));
         Path file = Files.writeString(folder.resolve("plain"), "x");
-        SnapshotFolder wrong = new SnapshotFolder(file, settings, told);
-        assertNull(wrong.loadNewest(NOW));
-        assertThrows(IOException.class, () -> wrong.write(bytes(1, NOW)));
+        SnapshotFolder notAFolder = new SnapshotFolder(file, settings, events);
+        assertNull(notAFolder.loadNewest(NOW));
+        assertThrows(IOException.class, () -> notAFolder.write(bytes(1, NOW)));
     }
 
     @Test
-    void oneProcessAloneWritesToAFolder() throws Exception {
+    void refusesToWriteWhileAnotherProcessHoldsTheLock() throws Exception {
         Process other = Writer.start(folder, 1);
         try {
             Writer.awaitFirst(other);
-            IOException e = assertThrows(IOException.class, () -> open().write(bytes(1, NOW)));
-            assertTrue(e.getMessage().startsWith("another workload manager keeps its list in"), e.getMessage());
+            IOException e = assertThrows(IOException.class, () -> openFolder().write(bytes(1, NOW)));
+            assertTrue(e.getMessage().startsWith("another workload manager holds the lock of the snapshot folder"),
+                    e.getMessage());
         } finally {
             other.destroyForcibly().waitFor();
         }
-        open().write(bytes(1, NOW));
+        openFolder().write(bytes(1, NOW));
     }
 
-    /** As a machine's power or an operator's hand ends it: at any moment, with no word. */
+    /** The process is killed at arbitrary moments, as by a power failure or an operator. */
     @Test
-    void aProcessKilledWhileItWritesLeavesOneWholeGeneration() throws Exception {
-        List<Integer> found = new ArrayList<>();
-        int before = 0;
+    void killedWriterLeavesACompleteSnapshot() throws Exception {
+        List<Integer> generations = new ArrayList<>();
+        int previous = 0;
         for (int i = 0; i < 30; i++) {
-            Process writer = Writer.start(folder, before + 1);
+            Process writer = Writer.start(folder, previous + 1);
             Writer.awaitFirst(writer);
-            // Spread over the time that some dozens of writes take.
+            // Spreads the kills over the duration of some dozens of writes.
             TimeUnit.MICROSECONDS.sleep(i * 1_700L % 23_000);
             writer.destroyForcibly().waitFor();
-            Snapshot newest = open().loadNewest(NOW);
+            Snapshot newest = openFolder().loadNewest(NOW);
             assertNotNull(newest, "run " + i);
             int generation = (int) (newest.savedAt() - NOW + HOUR);
             assertEquals(SnapshotCodecTest.snapshot(200 + generation % 50, newest.savedAt()), newest);
-            assertTrue(generation > before, "what was told to be on the disk is there: " + generation);
-            before = generation;
-            found.add(generation);
+            assertTrue(generation > previous, "a snapshot reported as written is lost, newest generation: " + generation);
+            previous = generation;
+            generations.add(generation);
         }
-        assertEquals(List.of(), told.all());
-        assertEquals(30, found.size());
+        assertEquals(List.of(), events.events());
+        assertEquals(30, generations.size());
     }
 
-    /** A process that writes one generation after the other; each tells its number by its date and size. */
+    /** A process that writes consecutive generations, whose date and number of engines identify them. */
     static final class Writer {
         private Writer() { }
 
@@ -263,39 +265,39 @@
         }
     }
 
-    private static Membership listed() {
+    private static Membership membershipWithOneEngine() {
         Membership membership = new Membership(TrustSettings.usual(1));
         membership.told(NOW, true, List.of(new ListedEngine("e1", "127.0.0.1:1", Listed.READY, "z", "k", 0, 1, 0)));
         return membership;
     }
 
     @Test
-    void aKeeperGoesOnWhileItsDiskFailsAndTellsEachCauseOnce() throws Exception {
+    void retriesFailedWritesAndReportsEachCauseOnce() throws Exception {
         Path blocked = Files.writeString(folder.resolve("plain"), "x");
-        StoreSettings quick = new StoreSettings(2, 1_000, 600, 1 << 20, HOUR, 1_000, 4_000);
-        SnapshotWriter keeper = new SnapshotWriter(new SnapshotFolder(blocked, quick, told), quick, told,
+        StoreSettings fastRetries = new StoreSettings(2, 1_000, 600, 1 << 20, HOUR, 1_000, 4_000);
+        SnapshotWriter writer = new SnapshotWriter(new SnapshotFolder(blocked, fastRetries, events), fastRetries, events,
                 () -> System.nanoTime() / 1_000);
-        keeper.start();
-        keeper.keep(listed().view(NOW), true);
-        told.await("snapshot.failed");
+        writer.start();
+        writer.keep(membershipWithOneEngine().view(NOW), true);
+        events.await("snapshot.failed");
         Files.delete(blocked);
-        told.await("snapshot.kept.again");
-        assertEquals(2, told.all().size(), told.all().toString());
-        assertEquals(1, new SnapshotFolder(blocked, quick, told).loadNewest(NOW).engines().size());
+        events.await("snapshot.kept.again");
+        assertEquals(2, events.events().size(), events.events().toString());
+        assertEquals(1, new SnapshotFolder(blocked, fastRetries, events).loadNewest(NOW).engines().size());
     }
 
     @Test
-    void aLaterViewStandsInForOneThatWaits() throws Exception {
-        StoreSettings slow = new StoreSettings(8, 60_000_000, 600, 1 << 20, HOUR, 1_000, 4_000);
-        SnapshotWriter keeper = new SnapshotWriter(new SnapshotFolder(folder, slow, told), slow, told,
+    void newerViewReplacesPendingOne() throws Exception {
+        StoreSettings longInterval = new StoreSettings(8, 60_000_000, 600, 1 << 20, HOUR, 1_000, 4_000);
+        SnapshotWriter writer = new SnapshotWriter(new SnapshotFolder(folder, longInterval, events), longInterval, events,
                 () -> System.nanoTime() / 1_000);
-        Membership membership = listed();
-        keeper.start();
+        Membership membership = membershipWithOneEngine();
+        writer.start();
         for (int i = 0; i < 1_000; i++) {
-            keeper.keep(membership.view(NOW + i), i == 0 || i == 999);
+            writer.keep(membership.view(NOW + i), i == 0 || i == 999);
         }
-        keeper.flush(10_000_000);
-        assertTrue(generations().size() <= 2, "written: " + generations());
-        assertEquals(NOW + 999, open().loadNewest(NOW).savedAt());
+        writer.flush(10_000_000);
+        assertTrue(snapshotFiles().size() <= 2, "written: " + snapshotFiles());
+        assertEquals(NOW + 999, openFolder().loadNewest(NOW).savedAt());
     }
 }
--- a/src/test/java/cairnline/store/WriteScheduleTest.java
+++ b/src/test/java/cairnline/store/WriteScheduleTest.java
@@ -9,75 +9,76 @@
 import org.junit.jupiter.api.Test;
 
 class WriteScheduleTest {
-    private static final long SECOND = 1_000_000;
-    private static final long NOW = 1_000 * SECOND;
+    private static final long SECOND_MICROS = 1_000_000;
+    private static final long NOW = 1_000 * SECOND_MICROS;
 
-    private final WriteSchedule cadence = new WriteSchedule(StoreSettings.defaults());
+    private final WriteSchedule schedule = new WriteSchedule(StoreSettings.defaults());
 
     private void write(long now) {
-        cadence.begin(now);
-        cadence.succeeded(now);
+        schedule.writeStarted(now);
+        schedule.writeSucceeded(now);
     }
 
     @Test
-    void nothingIsWrittenUnasked() {
-        assertEquals(Long.MAX_VALUE, cadence.due());
-        cadence.want(false);
-        assertTrue(cadence.due() <= NOW, "the first waits for nothing");
+    void writesOnlyWhenRequested() {
+        assertEquals(Long.MAX_VALUE, schedule.nextWriteAt());
+        schedule.requestWrite(false);
+        assertTrue(schedule.nextWriteAt() <= NOW, "the first write is not delayed");
         write(NOW);
-        assertEquals(Long.MAX_VALUE, cadence.due());
+        assertEquals(Long.MAX_VALUE, schedule.nextWriteAt());
     }
 
     @Test
-    void ordinaryWritesKeepTheirPaceAndUrgentOnesDoNotWait() {
-        cadence.want(false);
+    void delaysOrdinaryWritesByTheIntervalButNotUrgentOnes() {
+        schedule.requestWrite(false);
         write(NOW);
-        cadence.want(false);
-        assertEquals(NOW + StoreSettings.defaults().every(), cadence.due());
-        cadence.want(true);
-        assertTrue(cadence.due() <= NOW);
+        schedule.requestWrite(false);
+        assertEquals(NOW + StoreSettings.defaults().writeInterval(), schedule.nextWriteAt());
+        schedule.requestWrite(true);
+        assertTrue(schedule.nextWriteAt() <= NOW);
         write(NOW + 1);
-        cadence.want(false);
-        assertEquals(NOW + 1 + StoreSettings.defaults().every(), cadence.due(), "what was urgent is done");
+        schedule.requestWrite(false);
+        assertEquals(NOW + 1 + StoreSettings.defaults().writeInterval(), schedule.nextWriteAt(),
+                "the urgent request was satisfied by the previous write");
     }
 
     @Test
-    void urgencyThatComesWhileAWriteIsOnOutlivesIt() {
-        cadence.want(false);
-        cadence.begin(NOW);
-        cadence.want(true);
-        cadence.succeeded(NOW);
-        assertTrue(cadence.due() <= NOW);
+    void keepsUrgentRequestMadeDuringAWrite() {
+        schedule.requestWrite(false);
+        schedule.writeStarted(NOW);
+        schedule.requestWrite(true);
+        schedule.writeSucceeded(NOW);
+        assertTrue(schedule.nextWriteAt() <= NOW);
     }
 
     @Test
-    void writesAMinuteAreBoundUrgentOrNot() {
-        int most = StoreSettings.defaults().writesPerMinute();
-        for (int i = 0; i < most; i++) {
-            cadence.want(true);
-            assertTrue(cadence.due() <= NOW + i);
+    void limitsWritesPerMinuteEvenIfUrgent() {
+        int limit = StoreSettings.defaults().maxWritesPerMinute();
+        for (int i = 0; i < limit; i++) {
+            schedule.requestWrite(true);
+            assertTrue(schedule.nextWriteAt() <= NOW + i);
             write(NOW + i);
         }
-        cadence.want(true);
-        assertEquals(NOW + WriteSchedule.MINUTE, cadence.due());
+        schedule.requestWrite(true);
+        assertEquals(NOW + WriteSchedule.MINUTE_MICROS, schedule.nextWriteAt());
     }
 
     @Test
-    void pausesGrowAndEachCauseIsToldOnceUntilASuccess() {
-        cadence.want(true);
-        List<Long> pauses = new ArrayList<>();
+    void backsOffExponentiallyAndReportsEachCauseOnceUntilSuccess() {
+        schedule.requestWrite(true);
+        List<Long> backoffSeconds = new ArrayList<>();
         long now = NOW;
         for (int i = 0; i < 8; i++) {
-            cadence.begin(now);
-            assertEquals(i == 0, cadence.failed(now, "No space left after " + i + " bytes"));
-            pauses.add((cadence.due() - now) / SECOND);
-            now = cadence.due();
+            schedule.writeStarted(now);
+            assertEquals(i == 0, schedule.writeFailed(now, "No space left after " + i + " bytes"));
+            backoffSeconds.add((schedule.nextWriteAt() - now) / SECOND_MICROS);
+            now = schedule.nextWriteAt();
         }
-        assertEquals(List.of(1L, 2L, 4L, 8L, 16L, 32L, 60L, 60L), pauses);
-        assertTrue(cadence.failed(now, "Read-only file system"));
-        cadence.begin(now);
-        assertTrue(cadence.succeeded(now), "it is worth an event that it can be written again");
-        assertFalse(cadence.succeeded(now));
-        assertTrue(cadence.failed(now, "No space left after 1 bytes"));
+        assertEquals(List.of(1L, 2L, 4L, 8L, 16L, 32L, 60L, 60L), backoffSeconds);
+        assertTrue(schedule.writeFailed(now, "Read-only file system"));
+        schedule.writeStarted(now);
+        assertTrue(schedule.writeSucceeded(now), "recovery after a failure is reported");
+        assertFalse(schedule.writeSucceeded(now));
+        assertTrue(schedule.writeFailed(now, "No space left after 1 bytes"));
     }
 }
