--- a/src/main/java/cairnline/logs/EventLog.java
+++ b/src/main/java/cairnline/logs/EventLog.java
@@ -9,61 +9,61 @@
 import org.slf4j.spi.LoggingEventBuilder;
 
 /**
- * The program's log, on standard error. Whoever logs never waits: events go through a bounded queue to a thread of the
- * log's own, which also sets up the library, so that a program that logs nothing does not load it. What finds the queue full is
- * dropped and counted.
+ * Writes log events to standard error. Logging never blocks: events go through a bounded queue to a dedicated thread, and are
+ * dropped and counted while the queue is full. That thread also initialises the logging library, so that a program without
+ * events does not load it. Thread-safe.
  */
 public final class EventLog implements EventSink {
-    /** How events are written. */
+    /** Output format of events. */
     public enum Format { TEXT, JSON }
 
-    private static final int STACK = 256 * 1024;
+    private static final int STACK_SIZE_BYTES = 256 * 1024;
 
     private final ArrayBlockingQueue<Runnable> queue;
     private final AtomicBoolean started = new AtomicBoolean();
     private final AtomicLong dropped = new AtomicLong();
     private final Format format;
     private Logger logger;
-    private long droppedTold;
+    private long reportedDropped;
 
-    /** A log to standard error that holds so many events at most. */
-    public EventLog(Format format, int most) {
+    /** Creates a log that is not started; its queue holds up to {@code capacity} events. */
+    public EventLog(Format format, int capacity) {
         this.format = format;
-        this.queue = new ArrayBlockingQueue<>(most);
+        this.queue = new ArrayBlockingQueue<>(capacity);
     }
 
     @Override
-    public void event(Severity severity, String name, String words, Object... pairs) {
-        leave(() -> write(severity, name, words, pairs));
+    public void log(Severity severity, String name, String message, Object... pairs) {
+        enqueue(() -> write(severity, name, message, pairs));
     }
 
-    /** How many events found the queue full. */
+    /** Returns the number of events dropped because the queue was full. */
     public long dropped() {
         return dropped.get();
     }
 
-    /** Waits until what was logged before has been written, this long at most, in milliseconds. */
-    public void flush(long most) {
+    /** Waits until events logged before this call are written, for at most the time-out; returns at once if not started. */
+    public void flush(long timeoutMillis) {
         CountDownLatch written = new CountDownLatch(1);
         try {
-            if (started.get() && queue.offer(written::countDown, most, TimeUnit.MILLISECONDS)) {
-                written.await(most, TimeUnit.MILLISECONDS);
+            if (started.get() && queue.offer(written::countDown, timeoutMillis, TimeUnit.MILLISECONDS)) {
+                written.await(timeoutMillis, TimeUnit.MILLISECONDS);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private void leave(Runnable event) {
+    private void enqueue(Runnable event) {
         if (!queue.offer(event)) {
             dropped.incrementAndGet();
         }
     }
 
-    /** Starts the log's thread; what is logged before waits for it. */
+    /** Starts the writing thread, which also writes the events logged before; has no effect after the first call. */
     public void start() {
         if (started.compareAndSet(false, true)) {
-            Thread thread = new Thread(null, this::run, "log", STACK);
+            Thread thread = new Thread(null, this::run, "log", STACK_SIZE_BYTES);
             thread.setDaemon(true);
             thread.start();
         }
@@ -75,10 +75,10 @@
                 Runnable event = queue.take();
                 logger = logger == null ? LogbackSetup.logger(format) : logger;
                 event.run();
-                long lost = dropped.get() - droppedTold;
-                if (lost > 0) {
-                    droppedTold += lost;
-                    write(Severity.WARN, "log.dropped", "events found the log's queue full", "count", lost);
+                long newlyDropped = dropped.get() - reportedDropped;
+                if (newlyDropped > 0) {
+                    reportedDropped += newlyDropped;
+                    write(Severity.WARN, "log.dropped", "log queue was full, events were dropped", "count", newlyDropped);
                 }
             }
         } catch (InterruptedException e) {
@@ -86,11 +86,11 @@
         }
     }
 
-    private void write(Severity severity, String name, String words, Object... pairs) {
+    private void write(Severity severity, String name, String message, Object... pairs) {
         LoggingEventBuilder event = logger.atLevel(severity.level()).addKeyValue("event", name);
         for (int i = 0; i + 1 < pairs.length; i += 2) {
             event = event.addKeyValue(String.valueOf(pairs[i]), pairs[i + 1]);
         }
-        event.log(words);
+        event.log(message);
     }
 }
--- a/src/main/java/cairnline/logs/EventSink.java
+++ b/src/main/java/cairnline/logs/EventSink.java
@@ -1,11 +1,14 @@
 package cairnline.logs;
 
-/** Where events are told: a name that stays the same from release to release, words for people, and pairs. */
+/**
+ * Receives log events. An event has a name that is stable across releases, a message for people, and keys with values.
+ * Implementations are thread-safe.
+ */
 public interface EventSink {
-    /** Told nothing. */
-    EventSink NONE = (severity, name, words, pairs) -> { };
+    /** Discards all events. */
+    EventSink NONE = (severity, name, message, pairs) -> { };
 
-    /** How much an event matters. */
+    /** Severity of an event. */
     enum Severity {
         INFO(org.slf4j.event.Level.INFO), WARN(org.slf4j.event.Level.WARN), ERROR(org.slf4j.event.Level.ERROR);
 
@@ -20,16 +23,16 @@
         }
     }
 
-    /** Tells an event: its name, words, and pairs of keys and values. Never waits. */
-    void event(Severity severity, String name, String words, Object... pairs);
+    /** Logs an event without blocking; {@code pairs} alternates keys and values. */
+    void log(Severity severity, String name, String message, Object... pairs);
 
-    /** An event that is in order. */
-    default void info(String name, String words, Object... pairs) {
-        event(Severity.INFO, name, words, pairs);
+    /** Logs an event of normal operation. */
+    default void info(String name, String message, Object... pairs) {
+        log(Severity.INFO, name, message, pairs);
     }
 
-    /** An event that operators may want to act on. */
-    default void warn(String name, String words, Object... pairs) {
-        event(Severity.WARN, name, words, pairs);
+    /** Logs an event that operators may want to act on. */
+    default void warn(String name, String message, Object... pairs) {
+        log(Severity.WARN, name, message, pairs);
     }
 }
--- a/src/main/java/cairnline/logs/LogbackSetup.java
+++ b/src/main/java/cairnline/logs/LogbackSetup.java
@@ -10,18 +10,21 @@
 import ch.qos.logback.core.encoder.Encoder;
 import org.slf4j.Logger;
 
-/** The library's parts put together; apart from {@link EventLog}, so that they are loaded with the first event only. */
+/** Configures Logback. Separate from {@link EventLog}, so that Logback classes are loaded only with the first event. */
 final class LogbackSetup {
-    private static final String TEXT = "cairnline: %msg%replace( %kvp{NONE}){' $', ''}%n";
+    private static final String TEXT_PATTERN = "cairnline: %msg%replace( %kvp{NONE}){' $', ''}%n";
 
     private LogbackSetup() { }
 
-    /** Set up here and not by the library's search for files: that would cost a start more than all the rest. */
+    /**
+     * Creates the logger. Logback's own search for configuration files is avoided, since it would take longer than the rest of
+     * the program start.
+     */
     static Logger logger(EventLog.Format format) {
         LoggerContext context = new LoggerContext();
-        // Without one of these an event fails to be written, in silence.
+        // Without an MDC adapter Logback silently discards events.
         context.setMDCAdapter(new LogbackMDCAdapter());
-        Encoder<ILoggingEvent> encoder = format == EventLog.Format.JSON ? json(context) : text(context);
+        Encoder<ILoggingEvent> encoder = format == EventLog.Format.JSON ? jsonEncoder(context) : textEncoder(context);
         ConsoleAppender<ILoggingEvent> appender = new ConsoleAppender<>();
         appender.setContext(context);
         appender.setTarget("System.err");
@@ -33,15 +36,15 @@
         return context.getLogger("cairnline");
     }
 
-    private static Encoder<ILoggingEvent> text(LoggerContext context) {
+    private static Encoder<ILoggingEvent> textEncoder(LoggerContext context) {
         PatternLayoutEncoder encoder = new PatternLayoutEncoder();
         encoder.setContext(context);
-        encoder.setPattern(TEXT);
+        encoder.setPattern(TEXT_PATTERN);
         encoder.start();
         return encoder;
     }
 
-    private static Encoder<ILoggingEvent> json(LoggerContext context) {
+    private static Encoder<ILoggingEvent> jsonEncoder(LoggerContext context) {
         JsonEncoder encoder = new JsonEncoder();
         encoder.setContext(context);
         encoder.setWithContext(false);
--- a/src/test/java/cairnline/logs/EventLogTest.java
+++ b/src/test/java/cairnline/logs/EventLogTest.java
@@ -11,51 +11,51 @@
 import org.junit.jupiter.api.Test;
 
 class EventLogTest {
-    /** What goes to standard error meanwhile; the library looks the stream up with each write. */
-    private static List<String> written(EventLog log, Runnable told) {
-        PrintStream before = System.err;
+    /** Returns the lines written to standard error while logging; Logback looks up {@code System.err} at each write. */
+    private static List<String> linesWritten(EventLog log, Runnable logging) {
+        PrintStream standardError = System.err;
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         System.setErr(new PrintStream(bytes, true, StandardCharsets.UTF_8));
         try {
-            told.run();
+            logging.run();
             log.flush(10_000);
         } finally {
-            System.setErr(before);
+            System.setErr(standardError);
         }
         return bytes.toString(StandardCharsets.UTF_8).lines().toList();
     }
 
     @Test
-    void anEventIsOneLineOfTextWithItsPairs() {
+    void writesEventAsOneLineWithKeysAndValues() {
         EventLog log = new EventLog(EventLog.Format.TEXT, 16);
         log.start();
-        assertEquals(List.of("cairnline: it is so event=a.b n=5"), written(log, () -> log.info("a.b", "it is so", "n", 5)));
+        assertEquals(List.of("cairnline: it is so event=a.b n=5"), linesWritten(log, () -> log.info("a.b", "it is so", "n", 5)));
     }
 
     @Test
-    void asJsonItIsOneLineToo() {
+    void writesEventAsOneLineOfJson() {
         EventLog log = new EventLog(EventLog.Format.JSON, 16);
         log.start();
-        List<String> lines = written(log, () -> log.warn("a.b", "two\nlines", "n", 5));
+        List<String> lines = linesWritten(log, () -> log.warn("a.b", "two\nlines", "n", 5));
         assertEquals(1, lines.size(), lines.toString());
         assertTrue(lines.get(0).startsWith("{") && lines.get(0).contains("\"level\":\"WARN\"")
                 && lines.get(0).contains("\"event\"") && lines.get(0).contains("a.b"), lines.get(0));
     }
 
-    /** Whoever logs must not wait, whatever the stream does. */
+    /** A blocked standard error, such as a full pipe, must not block callers of the log. */
     @Test
-    void aStreamThatBlocksMakesNobodyWaitAndWhatIsLostIsCounted() throws Exception {
+    void neverBlocksAndCountsDroppedEventsWhileTheStreamBlocks() throws Exception {
         EventLog log = new EventLog(EventLog.Format.TEXT, 4);
         log.start();
-        PrintStream before = System.err;
-        CountDownLatch free = new CountDownLatch(1);
-        CountDownLatch stuck = new CountDownLatch(1);
+        PrintStream standardError = System.err;
+        CountDownLatch unblock = new CountDownLatch(1);
+        CountDownLatch blocked = new CountDownLatch(1);
         ByteArrayOutputStream bytes = new ByteArrayOutputStream() {
             @Override
             public synchronized void write(byte[] b, int off, int len) {
-                stuck.countDown();
+                blocked.countDown();
                 try {
-                    free.await();
+                    unblock.await();
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                 }
@@ -65,15 +65,15 @@
         System.setErr(new PrintStream(bytes, true, StandardCharsets.UTF_8));
         try {
             log.info("first", "x");
-            stuck.await();
+            blocked.await();
             for (int i = 0; i < 100; i++) {
                 log.info("more", "x");
             }
             assertEquals(96, log.dropped());
-            free.countDown();
+            unblock.countDown();
             log.flush(10_000);
         } finally {
-            System.setErr(before);
+            System.setErr(standardError);
         }
         String all = bytes.toString(StandardCharsets.UTF_8);
         assertTrue(all.contains("event=log.dropped count=96"), all);
