--- a/src/main/java/cairnline/settings/Expr.java
+++ b/src/main/java/cairnline/settings/Expr.java
@@ -4,22 +4,22 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** An expression as written, in a file or in the schema. {@link #toString} words it as it would be written. */
+/** A parsed expression of a settings file or the schema. {@link #toString} returns its source form. */
 sealed interface Expr {
-    SourcePosition place();
+    SourcePosition position();
 
-    /** A text, a number ({@link BigDecimal}), a {@link Quantity}, a {@link Boolean}, or null. */
-    record Scalar(SourcePosition place, Object value) implements Expr {
+    /** A scalar: string, {@link BigDecimal}, {@link Quantity}, {@link Boolean} or null. */
+    record Scalar(SourcePosition position, Object value) implements Expr {
         @Override
         public String toString() {
-            return value instanceof String text ? quoted(text) : value instanceof Quantity q ? q.text()
+            return value instanceof String text ? quoted(text) : value instanceof Quantity quantity ? quantity.text()
                     : value instanceof BigDecimal number ? number.toPlainString() : String.valueOf(value);
         }
     }
 
-    /** One of the types that the language knows. */
-    record Type(SourcePosition place, Kind kind) implements Expr {
-        /** The types. */
+    /** A built-in type. */
+    record Type(SourcePosition position, Kind kind) implements Expr {
+        /** The built-in types; {@link #ANY} is written as {@code _}. */
         enum Kind { STRING, INT, NUMBER, BOOL, NULL, DURATION, SIZE, ANY }
 
         @Override
@@ -28,39 +28,39 @@
         }
     }
 
-    /** A bound, or a regular expression that a text must, or must not, hold. */
-    record Bound(SourcePosition place, String operator, Scalar limit) implements Expr {
+    /** A comparison with a limit, or a regular expression that a string must or must not match. */
+    record Bound(SourcePosition position, String operator, Scalar limit) implements Expr {
         @Override
         public String toString() {
             return operator + limit;
         }
     }
 
-    /** A definition's name. */
-    record Reference(SourcePosition place, String name) implements Expr {
+    /** A reference to a definition, such as {@code #Name}. */
+    record Reference(SourcePosition position, String name) implements Expr {
         @Override
         public String toString() {
             return name;
         }
     }
 
-    /** All of these at once. */
-    record Both(SourcePosition place, List<Expr> parts) implements Expr {
+    /** A conjunction ({@code &}): a value must satisfy all parts. */
+    record Conjunction(SourcePosition position, List<Expr> parts) implements Expr {
         @Override
         public String toString() {
             return parts.stream().map(Expr::toString).collect(Collectors.joining(" & "));
         }
     }
 
-    /** One of these; a default is what holds where nothing else tells. */
-    record Choice(SourcePosition place, List<Option> options) implements Expr {
+    /** A disjunction ({@code |}): a value must satisfy one of the options. A default applies if no value is given. */
+    record Disjunction(SourcePosition position, List<Option> options) implements Expr {
         @Override
         public String toString() {
             return options.stream().map(Option::toString).collect(Collectors.joining(" | "));
         }
     }
 
-    /** One option of a choice. */
+    /** An option of a disjunction. */
     record Option(boolean isDefault, Expr expr) {
         @Override
         public String toString() {
@@ -68,8 +68,8 @@
         }
     }
 
-    /** A list: items in their order, then any number of {@code rest}, if that is not null. */
-    record Items(SourcePosition place, List<Expr> items, Expr rest) implements Expr {
+    /** A list: the items in order, followed by any number of {@code rest} if that is not null. */
+    record ListExpr(SourcePosition position, List<Expr> items, Expr rest) implements Expr {
         @Override
         public String toString() {
             return "[" + items.stream().map(Expr::toString).collect(Collectors.joining(", "))
@@ -77,21 +77,22 @@
         }
     }
 
-    /** A record; {@code open} if it ends with dots. */
-    record Struct(SourcePosition place, List<Field> fields, List<Pattern> patterns, boolean open) implements Expr {
+    /** A record; {@code acceptsOtherFields} if it ends with {@code ...}. */
+    record Struct(SourcePosition position, List<Field> fields, List<Pattern> patterns, boolean acceptsOtherFields)
+            implements Expr {
         @Override
         public String toString() {
-            return "{" + fields.stream().map(f -> f.name).collect(Collectors.joining(", ")) + "}";
+            return "{" + fields.stream().map(field -> field.name).collect(Collectors.joining(", ")) + "}";
         }
     }
 
-    /** A field of a record. */
-    record Field(SourcePosition place, String name, boolean optional, Expr value) { }
+    /** A field of a record; an optional field only constrains its value if it is present. */
+    record Field(SourcePosition position, String name, boolean optional, Expr value) { }
 
-    /** What all fields must be whose names are so. */
+    /** A constraint on the values of all fields whose names match. */
     record Pattern(Expr name, Expr value) { }
 
-    /** A text in quotes, as JSON writes it. */
+    /** Returns the text as a quoted JSON string. */
     static String quoted(String text) {
         return '"' + text.replace("\\", "\\\\").replace("\"", "\\\"").replace("\n", "\\n").replace("\t", "\\t") + '"';
     }
--- a/src/main/java/cairnline/settings/Problem.java
+++ b/src/main/java/cairnline/settings/Problem.java
@@ -1,10 +1,17 @@
 package cairnline.settings;
 
-/** One thing that is wrong: where, at which key, what was found and what is allowed (empty where that says nothing). */
-public record Problem(SourcePosition place, String key, String found, String allowed) {
+/**
+ * An error in a settings file.
+ *
+ * @param position position in the file
+ * @param key path of the setting; empty if the error belongs to none
+ * @param found what is wrong
+ * @param allowed what would be valid; empty if unspecified
+ */
+public record Problem(SourcePosition position, String key, String found, String allowed) {
     @Override
     public String toString() {
-        return place + ": " + (key.isEmpty() ? "" : key + ": ") + found
+        return position + ": " + (key.isEmpty() ? "" : key + ": ") + found
                 + (allowed.isEmpty() ? "" : "; allowed: " + allowed);
     }
 }
--- a/src/main/java/cairnline/settings/SettingsException.java
+++ b/src/main/java/cairnline/settings/SettingsException.java
@@ -3,19 +3,19 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** Settings that can't be used; all that is wrong with them, in the order of the file. */
+/** Thrown for invalid settings. The message lists all problems, one per line. */
 public final class SettingsException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    private final transient List<Problem> faults;
+    private final transient List<Problem> problems;
 
-    SettingsException(List<Problem> faults) {
-        super(faults.stream().map(Problem::toString).collect(Collectors.joining("\n")));
-        this.faults = List.copyOf(faults);
+    SettingsException(List<Problem> problems) {
+        super(problems.stream().map(Problem::toString).collect(Collectors.joining("\n")));
+        this.problems = List.copyOf(problems);
     }
 
-    /** All faults. */
-    public List<Problem> faults() {
-        return faults;
+    /** Returns all problems. */
+    public List<Problem> problems() {
+        return problems;
     }
 }
--- a/src/main/java/cairnline/settings/SettingsFile.java
+++ b/src/main/java/cairnline/settings/SettingsFile.java
@@ -16,74 +16,75 @@
 import java.util.List;
 import java.util.Map;
 
-/** A settings file, unified with the schema that the program ships. */
+/** Reads settings files and unifies them with the schema that ships with the program. */
 public final class SettingsFile {
-    private static final String SCHEMA = "schema.cue";
-    private static final String ROOT = "#Settings";
-    private static final int MOST = 4 << 20;
+    private static final String SCHEMA_RESOURCE = "schema.cue";
+    private static final String ROOT_DEFINITION = "#Settings";
+    private static final int MAX_FILE_BYTES = 4 << 20;
 
     private SettingsFile() { }
 
-    /** Reads a file; throws with all its faults. */
+    /** Reads a file; throws {@link SettingsException} with all problems found. */
     public static Resolved read(Path file) {
         try {
-            if (Files.size(file) > MOST) {
-                throw unreadable(file, "it is longer than " + MOST + " bytes");
+            if (Files.size(file) > MAX_FILE_BYTES) {
+                throw unreadable(file, "the file is longer than " + MAX_FILE_BYTES + " bytes");
             }
-            return of(file.toString(), Files.readAllBytes(file));
+            return parse(file.toString(), Files.readAllBytes(file));
         } catch (IOException e) {
-            throw unreadable(file, "it can't be read: " + e);
+            throw unreadable(file, "the file can't be read: " + e);
         }
     }
 
-    private static SettingsException unreadable(Path file, String why) {
-        return new SettingsException(List.of(new Problem(new SourcePosition(file.toString(), 1, 1), "", why, "")));
+    private static SettingsException unreadable(Path file, String problem) {
+        return new SettingsException(List.of(new Problem(new SourcePosition(file.toString(), 1, 1), "", problem, "")));
     }
 
-    /** Reads a text; the name is for messages. */
-    public static Resolved of(String name, byte[] text) {
+    /** Parses a settings text; the name appears in messages. Throws {@link SettingsException} with all problems found. */
+    public static Resolved parse(String name, byte[] text) {
         String decoded;
         try {
             decoded = StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(text)).toString();
         } catch (CharacterCodingException e) {
-            throw new SettingsException(List.of(new Problem(new SourcePosition(name, 1, 1), "", "it is not UTF-8", "")));
+            throw new SettingsException(
+                    List.of(new Problem(new SourcePosition(name, 1, 1), "", "the file is not valid UTF-8", "")));
         }
         return unify(Parser.parse(name, decoded), schema());
     }
 
-    /** What holds where no file is given. */
+    /** Returns the defaults of the schema. */
     public static Resolved defaults() {
-        return of("defaults", new byte[0]);
+        return parse("defaults", new byte[0]);
     }
 
-    /** Unifies a file with a schema; definitions that the file brings itself may be used in it too. */
+    /** Unifies a file with a schema. A file may add definitions of its own, but not replace those of the schema. */
     static Resolved unify(Struct file, Struct schema) {
         Map<String, Expr> definitions = new LinkedHashMap<>();
-        schema.fields().forEach(f -> definitions.put(f.name(), f.value()));
-        List<Expr.Field> plain = new ArrayList<>();
-        for (Expr.Field f : file.fields()) {
-            if (f.name().startsWith("#")) {
-                definitions.putIfAbsent(f.name(), f.value());
+        schema.fields().forEach(field -> definitions.put(field.name(), field.value()));
+        List<Expr.Field> fields = new ArrayList<>();
+        for (Expr.Field field : file.fields()) {
+            if (field.name().startsWith("#")) {
+                definitions.putIfAbsent(field.name(), field.value());
             } else {
-                plain.add(f);
+                fields.add(field);
             }
         }
-        Struct values = new Struct(file.place(), plain, file.patterns(), file.open());
-        Object root = new Unifier(definitions).unify(List.of(values, new Reference(file.place(), ROOT)));
+        Struct values = new Struct(file.position(), fields, file.patterns(), file.acceptsOtherFields());
+        Object root = new Unifier(definitions).unify(List.of(values, new Reference(file.position(), ROOT_DEFINITION)));
         @SuppressWarnings("unchecked")
         Map<String, Object> record = (Map<String, Object>) root;
         return new Resolved(record);
     }
 
     private static Struct schema() {
-        try (InputStream in = SettingsFile.class.getResourceAsStream(SCHEMA)) {
-            return Parser.parse(SCHEMA, new String(in.readAllBytes(), StandardCharsets.UTF_8));
+        try (InputStream in = SettingsFile.class.getResourceAsStream(SCHEMA_RESOURCE)) {
+            return Parser.parse(SCHEMA_RESOURCE, new String(in.readAllBytes(), StandardCharsets.UTF_8));
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
-    /** A record of settings, checked and complete; a key that the schema does not ask for may be missing. */
+    /** Validated settings with all defaults filled in; optional settings may be absent. */
     public static final class Resolved {
         private final Map<String, Object> record;
 
@@ -91,8 +92,8 @@
             this.record = record;
         }
 
-        /** The value at a path such as {@code log.format}; null if it is not set. */
-        private Object at(String path) {
+        /** Returns the value at a path such as {@code log.format}, or null if it is not set. */
+        private Object valueAt(String path) {
             Object value = record;
             for (String name : path.split("\\.")) {
                 value = value instanceof Map<?, ?> map ? map.get(name) : null;
@@ -100,75 +101,75 @@
             return value;
         }
 
-        /** Whether something is set there. */
+        /** Returns whether the setting has a value. */
         public boolean has(String path) {
-            return at(path) != null;
+            return valueAt(path) != null;
         }
 
-        /** A text. */
+        /** Returns a string setting, or null if it is not set. */
         public String text(String path) {
-            return (String) at(path);
+            return (String) valueAt(path);
         }
 
-        /** A number. */
+        /** Returns a number setting, which must be set. */
         public double number(String path) {
-            return ((BigDecimal) at(path)).doubleValue();
+            return ((BigDecimal) valueAt(path)).doubleValue();
         }
 
-        /** A whole number. */
-        public int whole(String path) {
-            return ((BigDecimal) at(path)).intValueExact();
+        /** Returns an integer setting, which must be set. */
+        public int integer(String path) {
+            return ((BigDecimal) valueAt(path)).intValueExact();
         }
 
-        /** A time in microseconds, or a size in bytes. */
-        public long amount(String path) {
-            return ((Quantity) at(path)).amount();
+        /** Returns a duration in microseconds or a size in bytes; the setting must be set. */
+        public long microsOrBytes(String path) {
+            return ((Quantity) valueAt(path)).amount();
         }
 
-        /** All of it as JSON knows it: times and sizes as texts. */
+        /** Returns all settings as JSON values, with durations and sizes as strings. */
         public Map<String, Object> asJson() {
             @SuppressWarnings("unchecked")
-            Map<String, Object> json = (Map<String, Object>) json(record);
+            Map<String, Object> json = (Map<String, Object>) toJson(record);
             return json;
         }
 
-        private static Object json(Object value) {
+        private static Object toJson(Object value) {
             if (value instanceof Map<?, ?> map) {
                 Map<String, Object> json = new LinkedHashMap<>();
-                map.forEach((name, each) -> json.put(name.toString(), json(each)));
+                map.forEach((name, element) -> json.put(name.toString(), toJson(element)));
                 return json;
             } else if (value instanceof List<?> list) {
-                return list.stream().map(Resolved::json).toList();
+                return list.stream().map(Resolved::toJson).toList();
             }
-            return value instanceof Quantity q ? q.text() : value;
+            return value instanceof Quantity quantity ? quantity.text() : value;
         }
 
-        /** All of it in the settings language, a field a line, with defaults filled in. */
-        public String show() {
+        /** Returns all settings, including defaults, in the settings language, one field per line. */
+        public String toCue() {
             StringBuilder out = new StringBuilder();
-            record.forEach((name, value) -> show(out, "", name, value));
+            record.forEach((name, value) -> appendField(out, "", name, value));
             return out.toString();
         }
 
-        private static void show(StringBuilder out, String indent, String name, Object value) {
+        private static void appendField(StringBuilder out, String indent, String name, Object value) {
             String label = name.matches("[a-zA-Z_][a-zA-Z0-9_]*") ? name : Expr.quoted(name);
             if (value instanceof Map<?, ?> map) {
                 out.append(indent).append(label).append(": {\n");
-                map.forEach((inner, each) -> show(out, indent + "\t", inner.toString(), each));
+                map.forEach((inner, element) -> appendField(out, indent + "\t", inner.toString(), element));
                 out.append(indent).append("}\n");
             } else {
-                out.append(indent).append(label).append(": ").append(word(value)).append('\n');
+                out.append(indent).append(label).append(": ").append(inlineText(value)).append('\n');
             }
         }
 
-        private static String word(Object value) {
+        private static String inlineText(Object value) {
             if (value instanceof Map<?, ?> map) {
                 StringBuilder inner = new StringBuilder("{");
-                map.forEach((name, each) -> inner.append(inner.length() > 1 ? ", " : "")
-                        .append(Expr.quoted(name.toString())).append(": ").append(word(each)));
+                map.forEach((name, element) -> inner.append(inner.length() > 1 ? ", " : "")
+                        .append(Expr.quoted(name.toString())).append(": ").append(inlineText(element)));
                 return inner.append('}').toString();
             } else if (value instanceof List<?> list) {
-                return list.stream().map(Resolved::word).toList().toString();
+                return list.stream().map(Resolved::inlineText).toList().toString();
             }
             return new Expr.Scalar(null, value).toString();
         }
--- a/src/main/java/cairnline/settings/SourcePosition.java
+++ b/src/main/java/cairnline/settings/SourcePosition.java
@@ -1,6 +1,6 @@
 package cairnline.settings;
 
-/** Where something stands: lines and columns count from 1. */
+/** A position in a settings file; lines and columns are counted from 1. */
 public record SourcePosition(String file, int line, int column) {
     @Override
     public String toString() {
--- a/src/test/java/cairnline/settings/SettingsFileTest.java
+++ b/src/test/java/cairnline/settings/SettingsFileTest.java
@@ -20,49 +20,49 @@
         return SettingsFile.parse("f.cue", text.getBytes(StandardCharsets.UTF_8));
     }
 
-    private static List<String> faults(String text) {
+    private static List<String> problems(String text) {
         return assertThrows(SettingsException.class, () -> read(text)).problems().stream().map(Problem::toString).toList();
     }
 
-    /** Unifies a text with a schema of the test's own. */
+    /** Unifies a text with this schema instead of the one that ships with the program. */
     private static Object unify(String schema, String text) {
         return SettingsFile.unify(Parser.parse("f.cue", text), Parser.parse("s.cue", schema)).asJson();
     }
 
-    private static List<String> faults(String schema, String text) {
+    private static List<String> problems(String schema, String text) {
         return assertThrows(SettingsException.class, () -> unify(schema, text)).problems().stream().map(Problem::toString)
                 .toList();
     }
 
     @Test
-    void whatIsLeftOutHasItsDefault() {
+    void fillsInDefaultsOfTheSchema() {
         Resolved settings = read("discovery: snapshot: dir: \"kept\" // short for records in records");
         assertEquals("kept", settings.text("discovery.snapshot.dir"));
-        assertEquals(4, settings.whole("discovery.snapshot.generations"));
-        assertEquals(10_000_000, settings.amount("discovery.snapshot.every"));
-        assertEquals(16 << 20, settings.amount("discovery.snapshot.maxBytes"));
+        assertEquals(4, settings.integer("discovery.snapshot.generations"));
+        assertEquals(10_000_000, settings.microsOrBytes("discovery.snapshot.every"));
+        assertEquals(16 << 20, settings.microsOrBytes("discovery.snapshot.maxBytes"));
         assertEquals(0.95, settings.number("discovery.trust.fresh"));
         assertEquals("text", settings.text("log.format"));
         assertEquals(SettingsFile.defaults().asJson().keySet(), settings.asJson().keySet());
     }
 
     @Test
-    void jsonIsWhatItAlwaysWas() {
+    void readsJson() {
         Resolved odata = SettingsFile.read(Path.of("deploy/odata.json"));
         assertEquals("127.0.0.1:8080", odata.text("listen"));
         assertEquals("load", odata.text("sets.Books.write"));
         Resolved json = read("{\"discovery\": {\"snapshot\": {\"every\": \"2s\", \"maxBytes\": \"1KiB\"}}}");
-        assertEquals(2_000_000, json.amount("discovery.snapshot.every"));
-        assertEquals(1_024, json.amount("discovery.snapshot.maxBytes"));
+        assertEquals(2_000_000, json.microsOrBytes("discovery.snapshot.every"));
+        assertEquals(1_024, json.microsOrBytes("discovery.snapshot.maxBytes"));
     }
 
     @Test
-    void allFaultsAreToldAtOnceWithPlaceKeyAndWhatIsAllowed() {
+    void reportsAllProblemsWithPositionKeyAndAllowedValues() {
         assertEquals(List.of(
                 "f.cue:2:9: discovery.snapshot.every: found 2h; allowed: *10s | duration & >=100ms & <=1h",
-                "f.cue:3:2: discovery.snapshot.generatons: is no key here; allowed: generations",
+                "f.cue:3:2: discovery.snapshot.generatons: unknown key; allowed: generations",
                 "f.cue:5:14: log.format: found \"xml\"; allowed: *\"text\" | \"json\"",
-                "f.cue:6:23: sets.Books.tables: found 1.5; allowed: int & >=-1"), faults("""
+                "f.cue:6:23: sets.Books.tables: found 1.5; allowed: int & >=-1"), problems("""
                 discovery: snapshot: {
                  every: 2h
                  generatons: 3
@@ -73,20 +73,20 @@
     }
 
     @Test
-    void whatIsNotOfTheFormIsToldWithItsPlace() {
-        assertTrue(faults("discovery: {").get(0).startsWith("f.cue:1:13: "));
-        assertEquals(List.of("f.cue:1:29: the word yes; allowed: true, false, null, _, bool, duration, int, number, "
-                + "size, string, or a text in quotes"), faults("discovery: snapshot: every: yes"));
-        assertTrue(faults("log: queue: 5parsecs").get(0).startsWith("f.cue:1:13: 5parsecs; allowed: a number with"));
-        assertTrue(faults("log: {format: \"text\", format: \"json\"}").get(0).contains("stands twice"));
-        assertTrue(faults("a: " + "[".repeat(100) + "]".repeat(100)).get(0).contains("nested deeper"));
-        assertTrue(faults("log: queue: 1e999999999").get(0).contains("the number 1e999999999"));
+    void reportsSyntaxErrorsWithPosition() {
+        assertTrue(problems("discovery: {").get(0).startsWith("f.cue:1:13: "));
+        assertEquals(List.of("f.cue:1:29: unknown identifier yes; allowed: true, false, null, _, bool, duration, int, number, "
+                + "size, string, or a quoted string"), problems("discovery: snapshot: every: yes"));
+        assertTrue(problems("log: queue: 5parsecs").get(0).startsWith("f.cue:1:13: 5parsecs; allowed: a number followed"));
+        assertTrue(problems("log: {format: \"text\", format: \"json\"}").get(0).contains("defined twice"));
+        assertTrue(problems("a: " + "[".repeat(100) + "]".repeat(100)).get(0).contains("nested deeper"));
+        assertTrue(problems("log: queue: 1e999999999").get(0).contains("number out of range: 1e999999999"));
         assertEquals(1, assertThrows(SettingsException.class,
                 () -> SettingsFile.parse("f", new byte[] {(byte) 0xC3})).problems().size());
     }
 
     @Test
-    void typesBoundsExpressionsAndChoicesHold() {
+    void checksTypesBoundsPatternsAndDisjunctions() {
         String schema = """
                 #Port: int & >=1 & <=65535
                 #Settings: {
@@ -116,28 +116,28 @@
             {"{b: 2}", "{a: 2}", "open.a"}, {"port: 80", "port: 80, name: \"root\"", "name"},
             {"port: 80", "port: 80, name: \"A\"", "name"}, {"port: 80", "", "port"}, {"port: 80", "port: {}", "port"},
             {"[1, 2,]", "5", "list"}};
-        for (String[] each : wrong) {
-            List<String> faults = faults(schema, good.replace(each[0], each[1]));
-            assertTrue(faults.size() == 1 && faults.get(0).matches("(?s).*\\.cue:\\d+:\\d+: " + each[2].replace("[", "\\[")
-                    .replace(".", "\\.") + ": .*"), each[1] + " gave " + faults);
+        for (String[] change : wrong) {
+            List<String> problems = problems(schema, good.replace(change[0], change[1]));
+            assertTrue(problems.size() == 1 && problems.get(0).matches("(?s).*\\.cue:\\d+:\\d+: " + change[2].replace("[", "\\[")
+                    .replace(".", "\\.") + ": .*"), change[1] + " gave " + problems);
         }
     }
 
     @Test
-    void aFileMayNameDefinitionsOfItsOwnAndUnifyThem() {
+    void unifiesDefinitionsOfTheFile() {
         String schema = "#Settings: {a: {x: int, y: *1 | int}, b?: _}";
         assertEquals("{a={x=3, y=2}}", unify(schema, "#Base: {x: 3, ...}\na: #Base & {y: 2}").toString());
-        assertEquals(List.of("f.cue:2:13: a.y: is no key here; allowed: x"), faults(schema, "#Base: {x: 3}\na: #Base & {y: 2}"),
+        assertEquals(List.of("f.cue:2:13: a.y: unknown key; allowed: x"), problems(schema, "#Base: {x: 3}\na: #Base & {y: 2}"),
                 "a definition is closed");
-        assertEquals(List.of("f.cue:1:4: a: #Gone is not defined"), faults(schema, "a: #Gone"));
-        assertEquals(1, faults("#Settings: {a: #A}\n#A: #B\n#B: #A", "a: 1").size());
+        assertEquals(List.of("f.cue:1:4: a: #Gone is not defined"), problems(schema, "a: #Gone"));
+        assertEquals(1, problems("#Settings: {a: #A}\n#A: #B\n#B: #A", "a: 1").size());
     }
 
     @Test
-    void whatIsShownMeansTheSame() {
-        Resolved first = read("sets: Books: read: \"a\\\"b\\n\", discovery: trust: halfLife: 90m, engines: "
+    void textFormReadsBackAsTheSameSettings() {
+        Resolved settings = read("sets: Books: read: \"a\\\"b\\n\", discovery: trust: halfLife: 90m, engines: "
                 + "[{id: \"e\", address: \"h:1\"}]");
-        assertEquals(first.asJson(), read(first.show()).asJson());
+        assertEquals(settings.asJson(), read(settings.toCue()).asJson());
     }
 
     @Provide
@@ -147,9 +147,9 @@
                 .list().ofMaxSize(30).map(words -> String.join(" ", words));
     }
 
-    /** Whatever is written, it is taken, or told as faults with places. */
+    /** Any text is either accepted or rejected with a list of problems; no other exception is thrown. */
     @Property(tries = 3_000)
-    void noTextIsMoreThanFaulty(@ForAll("texts") String text) {
+    void readsAnyTextOrReportsProblems(@ForAll("texts") String text) {
         try {
             read(text);
         } catch (SettingsException e) {
