--- a/src/test/java/cairnline/LayersTest.java
+++ b/src/test/java/cairnline/LayersTest.java
@@ -15,10 +15,10 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** Each package uses only those below it. */
+/** Checks the layering: each package may depend only on the packages listed for it. */
 class LayersTest {
-    private static final Pattern USE = Pattern.compile("\\bcairnline\\.([a-z]+)\\.[A-Z]");
-    private static final Map<String, Set<String>> MAY_USE = Map.ofEntries(
+    private static final Pattern PACKAGE_REFERENCE = Pattern.compile("\\bcairnline\\.([a-z]+)\\.[A-Z]");
+    private static final Map<String, Set<String>> ALLOWED_DEPENDENCIES = Map.ofEntries(
             Map.entry("control", Set.of()),
             Map.entry("protocol", Set.of()),
             Map.entry("logs", Set.of()),
@@ -30,26 +30,27 @@
             Map.entry("transport", Set.of("control", "logs", "membership", "pools", "protocol", "routing")),
             Map.entry("simhost", Set.of("control")),
             Map.entry("standin", Set.of("protocol")),
-            Map.entry("program", Set.of("control", "logs", "membership", "pools", "protocol", "routing", "settings", "simhost", "standin",
-                    "store", "transport")));
+            Map.entry("program", Set.of("control", "logs", "membership", "pools", "protocol", "routing", "settings", "simhost",
+                    "standin", "store", "transport")));
 
     @Test
-    void packagesUseOnlyThoseBelowThem() throws IOException {
-        List<String> wrong = new ArrayList<>();
-        int seen = 0;
+    void packagesDependOnlyOnLowerLayers() throws IOException {
+        List<String> violations = new ArrayList<>();
+        int references = 0;
         try (Stream<Path> files = Files.walk(Path.of("src/main/java/cairnline"))) {
             for (Path file : files.filter(f -> f.toString().endsWith(".java")).toList()) {
-                String layer = file.getParent().getFileName().toString();
-                Matcher use = USE.matcher(Files.readString(file));
-                while (use.find()) {
-                    seen++;
-                    if (!use.group(1).equals(layer) && !MAY_USE.get(layer).contains(use.group(1))) {
-                        wrong.add(file + " uses " + use.group(1));
+                String ownPackage = file.getParent().getFileName().toString();
+                Matcher reference = PACKAGE_REFERENCE.matcher(Files.readString(file));
+                while (reference.find()) {
+                    references++;
+                    if (!reference.group(1).equals(ownPackage)
+                            && !ALLOWED_DEPENDENCIES.get(ownPackage).contains(reference.group(1))) {
+                        violations.add(file + " uses " + reference.group(1));
                     }
                 }
             }
         }
-        assertEquals(List.of(), wrong);
-        assertTrue(seen > 50, "too few uses were found to speak for the whole: " + seen);
+        assertEquals(List.of(), violations);
+        assertTrue(references > 50, "too few references found, the pattern no longer matches: " + references);
     }
 }
--- a/src/test/java/cairnline/checks/KnownFailures.java
+++ b/src/test/java/cairnline/checks/KnownFailures.java
@@ -12,16 +12,16 @@
 import org.opentest4j.TestAbortedException;
 
 /**
- * Runs the tests that {@code KNOWN-RED.txt} lists and expects each of them to fail: a listed test that fails is reported as
- * skipped, and one that passes fails, since its entry is out of date. Any other test is left as it is.
+ * JUnit extension that expects the tests listed in {@code KNOWN-RED.txt} to fail. A listed test that fails is reported as
+ * skipped; one that passes is reported as failed, since its entry is out of date. Other tests are not affected.
  */
 public final class KnownFailures implements InvocationInterceptor {
     private static final Path LIST = Path.of("KNOWN-RED.txt");
 
-    private final Set<String> listed = read();
+    private final Set<String> knownFailures = readList();
 
-    /** Names of the listed tests: the first word of each line that is neither empty nor a comment. */
-    private static Set<String> read() {
+    /** Returns the names of the listed tests: the first word of each line that is not blank, indented or a comment. */
+    private static Set<String> readList() {
         try (var lines = Files.lines(LIST)) {
             return lines.filter(line -> !line.isBlank() && !line.startsWith("#") && !line.startsWith(" "))
                     .map(line -> line.split("\\s+")[0]).collect(Collectors.toSet());
@@ -31,21 +31,21 @@
     }
 
     @Override
-    public void interceptTestMethod(Invocation<Void> test, ReflectiveInvocationContext<Method> called,
+    public void interceptTestMethod(Invocation<Void> test, ReflectiveInvocationContext<Method> invocation,
                                     ExtensionContext context) throws Throwable {
-        run(test, called.getTargetClass().getName() + "#" + called.getExecutable().getName());
+        run(test, invocation.getTargetClass().getName() + "#" + invocation.getExecutable().getName());
     }
 
-    /** One set of a test's arguments is named by them: {@code CLASS#METHOD[7]}. */
+    /** A parameterised invocation is listed with its arguments, such as {@code CLASS#METHOD[7]}. */
     @Override
-    public void interceptTestTemplateMethod(Invocation<Void> test, ReflectiveInvocationContext<Method> called,
+    public void interceptTestTemplateMethod(Invocation<Void> test, ReflectiveInvocationContext<Method> invocation,
                                             ExtensionContext context) throws Throwable {
-        run(test, called.getTargetClass().getName() + "#" + called.getExecutable().getName()
-                + called.getArguments().toString().replace(" ", ""));
+        run(test, invocation.getTargetClass().getName() + "#" + invocation.getExecutable().getName()
+                + invocation.getArguments().toString().replace(" ", ""));
     }
 
     private void run(Invocation<Void> test, String name) throws Throwable {
-        if (!listed.contains(name)) {
+        if (!knownFailures.contains(name)) {
             test.proceed();
             return;
         }
