--- a/src/main/java/cairnline/protocol/ClientFrames.java
+++ b/src/main/java/cairnline/protocol/ClientFrames.java
@@ -10,9 +10,11 @@
 public final class ClientFrames {
     public static final int REQUEST = 0;
     public static final int ANSWER = 1;
+    /** Sent by a client that no longer wants the answer on a stream. */
     public static final int CANCEL_REQUEST = 2;
     public static final int READINESS_REQUEST = 6;
     public static final int READINESS_ANSWER = 7;
+    /** Sent to a client that must not open further streams on the connection. */
     public static final int NO_MORE_REQUESTS = 9;
 
     public static final int CODE_REFUSED = 0;
--- a/src/main/java/cairnline/protocol/ClientRequest.java
+++ b/src/main/java/cairnline/protocol/ClientRequest.java
@@ -49,7 +49,10 @@
         return text.chars().allMatch(c -> Character.digit(c, 16) >= 0 && c < 128);
     }
 
-    /** Validates an idempotency key. It is copied into the field list for engines, so it must not contain its separators. */
+    /**
+     * Returns the idempotency key if it is valid, or null if there is none. The key is copied into the field list for engines,
+     * so it must not contain the separators of that list.
+     */
     public static String idempotencyKey(String value) {
         if (value == null) {
             return null;
--- a/src/main/java/cairnline/protocol/EngineMessage.java
+++ b/src/main/java/cairnline/protocol/EngineMessage.java
@@ -5,13 +5,13 @@
 import java.util.List;
 import java.util.Map;
 
-/** A message from an engine: {@code ID WORD FIELDS BODY}, where the word gives the kind of message. */
+/** A message from an engine: {@code ID WORD FIELDS BODY}, in which the word states the kind of message. */
 public record EngineMessage(String id, Kind kind, Map<String, String> fields, byte[] body) {
     private static final int MIN_PARTS = 2;
     private static final int PARTS_WITH_BODY = 4;
     private static final int ROW_COLUMNS = 3;
-    /** Larger than any valid work, memory or load value, whatever its unit. */
-    private static final double MAX_FIELD_VALUE = 1e12;
+    /** Exclusive upper bound of work, memory and load values, whatever their unit. */
+    private static final double FIELD_VALUE_LIMIT = 1e12;
     private static final double MICROS_PER_MILLI = 1_000;
 
     /** Kinds of messages. */
@@ -100,15 +100,15 @@
         return loadReport;
     }
 
-    private double number(String name, double absent) {
+    private double number(String name, double defaultValue) {
         String value = fields.get(name);
-        return value == null ? absent : number(value);
+        return value == null ? defaultValue : number(value);
     }
 
     private static double number(String value) {
         try {
             double number = Double.parseDouble(value);
-            if (number >= 0 && number < MAX_FIELD_VALUE) {
+            if (number >= 0 && number < FIELD_VALUE_LIMIT) {
                 return number;
             }
         } catch (NumberFormatException e) {
--- a/src/main/java/cairnline/protocol/FeedEvent.java
+++ b/src/main/java/cairnline/protocol/FeedEvent.java
@@ -16,9 +16,16 @@
     /** State of an engine as the feed reports it. */
     public enum State { IN_SERVICE, TERMINATING, TERMINATED }
 
-    /** An entry of the engine list as the feed reports it; start time in Unix milliseconds, 0 if unknown. */
+    /**
+     * An entry of the engine list as the feed reports it.
+     *
+     * @param kind machine type; empty if unknown
+     * @param cell number of the cell to which the engine belongs; an idempotency key may hold within one cell only
+     * @param weight size of the engine relative to others
+     * @param startedAtMillis start time in Unix milliseconds; 0 if unknown
+     */
     public record EngineEntry(String id, String address, String zone, String kind, int cell, State state, double weight,
-                       long startedAtMillis) { }
+                              long startedAtMillis) { }
 
     /** Parses a line of the feed; returns null for a line with only the last event number, which changes nothing. */
     public static FeedEvent parseLine(byte[] line) {
--- a/src/main/java/cairnline/protocol/HarFile.java
+++ b/src/main/java/cairnline/protocol/HarFile.java
@@ -61,26 +61,26 @@
             return null;
         }
         entryNumber++;
-        String started = null;
+        String startedDateTime = null;
         Map<String, Object> request = null;
         while (parser.nextToken() == JsonToken.FIELD_NAME) {
             String name = parser.currentName();
             parser.nextToken();
             if (name.equals("startedDateTime")) {
-                started = parser.getValueAsString();
+                startedDateTime = parser.getValueAsString();
             } else if (name.equals("request") && parser.currentToken() == JsonToken.START_OBJECT) {
-                request = Json.asObject(Json.value(parser), "request");
+                request = Json.asObject(Json.readValue(parser), "request");
             } else {
                 parser.skipChildren();
             }
         }
-        if (started == null || request == null) {
+        if (startedDateTime == null || request == null) {
             throw new ProtocolException("startedDateTime or request is missing");
         }
-        return toRequest(started, request);
+        return toRequest(startedDateTime, request);
     }
 
-    private static RecordedRequest toRequest(String started, Map<String, Object> request) {
+    private static RecordedRequest toRequest(String startedDateTime, Map<String, Object> request) {
         Map<String, String> headers = new LinkedHashMap<>();
         for (Object value : Json.asList(request.getOrDefault("headers", List.of()), "headers")) {
             Map<String, Object> header = Json.asObject(value, "headers");
@@ -92,10 +92,10 @@
             body = String.valueOf(postData.getOrDefault("text", "")).getBytes(StandardCharsets.UTF_8);
         }
         try {
-            return RecordedRequest.of(OffsetDateTime.parse(started).toInstant().toEpochMilli(),
+            return RecordedRequest.of(OffsetDateTime.parse(startedDateTime).toInstant().toEpochMilli(),
                     Json.text(request, "method"), Json.text(request, "url"), headers, body);
         } catch (DateTimeException e) {
-            throw new ProtocolException("startedDateTime is no time: " + started);
+            throw new ProtocolException("startedDateTime is no time: " + startedDateTime);
         }
     }
 
--- a/src/main/java/cairnline/protocol/Json.java
+++ b/src/main/java/cairnline/protocol/Json.java
@@ -28,7 +28,7 @@
     public static Object read(byte[] bytes) {
         try (JsonParser parser = FACTORY.createParser(bytes)) {
             parser.nextToken();
-            Object value = value(parser);
+            Object value = readValue(parser);
             if (parser.nextToken() != null) {
                 throw new ProtocolException("JSON goes on after its value");
             }
@@ -95,7 +95,7 @@
     }
 
     /** Reads the value at the current token of the parser. */
-    static Object value(JsonParser parser) throws IOException {
+    static Object readValue(JsonParser parser) throws IOException {
         JsonToken token = parser.currentToken();
         if (token == null) {
             throw new ProtocolException("JSON ends before its value");
@@ -106,14 +106,14 @@
                 while (parser.nextToken() != JsonToken.END_OBJECT) {
                     String name = parser.currentName();
                     parser.nextToken();
-                    object.put(name, value(parser));
+                    object.put(name, readValue(parser));
                 }
                 return object;
             }
             case START_ARRAY -> {
                 List<Object> list = new ArrayList<>();
                 while (parser.nextToken() != JsonToken.END_ARRAY) {
-                    list.add(value(parser));
+                    list.add(readValue(parser));
                 }
                 return list;
             }
--- a/src/main/java/cairnline/protocol/ODataBatch.java
+++ b/src/main/java/cairnline/protocol/ODataBatch.java
@@ -39,9 +39,9 @@
         List<Item> items = new ArrayList<>();
         try {
             if (json) {
-                jsonItems(http.body(), items);
+                parseJsonItems(http.body(), items);
             } else {
-                multipartItems(http.body(), boundary(type), items);
+                parseMultipartItems(http.body(), boundaryOf(type), items);
             }
         } catch (ProtocolException e) {
             throw new ODataException(400, "the batch can't be read: " + e.getMessage());
@@ -102,7 +102,7 @@
 
     // ---- JSON ----
 
-    private static void jsonItems(byte[] body, List<Item> items) {
+    private static void parseJsonItems(byte[] body, List<Item> items) {
         Set<String> knownIds = new HashSet<>();
         for (Object element : Json.asList(Json.object(body).get("requests"), "requests")) {
             Map<String, Object> request = Json.asObject(element, "request");
@@ -164,7 +164,7 @@
 
     // ---- Multipart ----
 
-    private static String boundary(String type) {
+    private static String boundaryOf(String type) {
         int position = type.toLowerCase(Locale.ROOT).indexOf("boundary=");
         String value = position < 0 ? "" : type.substring(position + "boundary=".length()).split(";", 2)[0].strip();
         value = value.startsWith("\"") && value.endsWith("\"") && value.length() > 1
@@ -175,35 +175,35 @@
         return value;
     }
 
-    private static void multipartItems(byte[] body, String boundary, List<Item> items) {
-        for (byte[] part : parts(body, boundary)) {
+    private static void parseMultipartItems(byte[] body, String boundary, List<Item> items) {
+        for (byte[] part : splitParts(body, boundary)) {
             Map<String, String> headers = partHeaders(part);
             String type = headers.getOrDefault("content-type", "");
             if (type.toLowerCase(Locale.ROOT).startsWith("multipart/mixed")) {
                 String group = "change set " + (items.size() + 1);
-                for (byte[] inner : parts(partBody(part), boundary(type))) {
-                    items.add(item(inner, group, items.size()));
+                for (byte[] inner : splitParts(partBody(part), boundaryOf(type))) {
+                    items.add(parseItem(inner, group, items.size()));
                 }
             } else {
-                items.add(item(part, null, items.size()));
+                items.add(parseItem(part, null, items.size()));
             }
         }
     }
 
-    private static Item item(byte[] part, String group, int number) {
+    private static Item parseItem(byte[] part, String group, int number) {
         Map<String, String> headers = partHeaders(part);
         if (!headers.getOrDefault("content-type", "").toLowerCase(Locale.ROOT).startsWith("application/http")) {
             throw new ProtocolException("a part is not application/http");
         }
         byte[] body = partBody(part);
-        HttpMessage received = embedded(body);
+        HttpMessage received = parseEmbedded(body);
         HttpMessage request = HttpMessage.request(received.method(), pathOf(received.target()), received.headers(),
                 received.body());
         return new Item(headers.getOrDefault("content-id", Integer.toString(number + 1)), group, List.of(), request);
     }
 
     /** Parses the request of a part. It may omit the length of its body, which then ends with the part. */
-    private static HttpMessage embedded(byte[] bytes) {
+    private static HttpMessage parseEmbedded(byte[] bytes) {
         int end = headEnd(bytes);
         if (end < 0) {
             return HttpMessage.parse(concat(bytes, "\r\n\r\n".getBytes(StandardCharsets.US_ASCII)));
@@ -225,13 +225,13 @@
     }
 
     private static byte[] concat(byte[] first, byte[] second) {
-        byte[] both = Arrays.copyOf(first, first.length + second.length);
-        System.arraycopy(second, 0, both, first.length, second.length);
-        return both;
+        byte[] joined = Arrays.copyOf(first, first.length + second.length);
+        System.arraycopy(second, 0, joined, first.length, second.length);
+        return joined;
     }
 
     /** Splits a multipart body at its boundary lines; the line break before a boundary belongs to the boundary. */
-    private static List<byte[]> parts(byte[] body, String boundary) {
+    private static List<byte[]> splitParts(byte[] body, String boundary) {
         String text = new String(body, StandardCharsets.ISO_8859_1);
         String delimiter = "--" + boundary;
         List<byte[]> parts = new ArrayList<>();
--- a/src/main/java/cairnline/protocol/ODataPages.java
+++ b/src/main/java/cairnline/protocol/ODataPages.java
@@ -11,18 +11,18 @@
     private static final String NEXT_LINK = "@odata.nextLink";
     private static final String NEXT_LINK_SHORT = "@nextLink";
 
-    private HttpMessage first;
+    private HttpMessage firstPage;
     private Map<String, Object> joined;
     private List<Object> rows;
 
     /** Adds a page and returns the request target of the next page, or null if this is the last one. */
     public String addPage(HttpMessage page) {
-        if (first != null) {
+        if (firstPage != null) {
             Map<String, Object> nextPage = Json.object(page.body());
             rows.addAll(Json.asList(nextPage.get("value"), "value"));
             return nextTarget(nextPage);
         }
-        first = page;
+        firstPage = page;
         boolean paged = page.header("content-type").startsWith("application/json")
                 && new String(page.body(), StandardCharsets.UTF_8).contains("nextLink\"");
         if (!paged) {
@@ -42,7 +42,7 @@
 
     /** Returns the response with the rows of all pages; a response of a single page is returned byte for byte. */
     public HttpMessage join() {
-        return joined == null ? first : first.withBody(Json.write(joined));
+        return joined == null ? firstPage : firstPage.withBody(Json.write(joined));
     }
 
     private static String nextTarget(Map<String, Object> page) {
--- a/src/main/java/cairnline/protocol/PagedResult.java
+++ b/src/main/java/cairnline/protocol/PagedResult.java
@@ -10,7 +10,7 @@
     private byte[][] pages;
     private int missingPages;
     private int sizeBytes;
-    private long work;
+    private long workMicros;
     private double memory;
 
     /** Creates an empty result that rejects larger pages and results of more than {@code maxPages} pages. */
@@ -29,7 +29,7 @@
         }
         pages = new byte[first.pageCount()][];
         missingPages = pages.length;
-        work = first.workMicros();
+        workMicros = first.workMicros();
         memory = first.memory();
         return true;
     }
@@ -87,7 +87,7 @@
 
     /** Returns the work that the query took in microseconds on one core, 0 if it was not reported. */
     public long work() {
-        return work;
+        return workMicros;
     }
 
     /** Returns the memory that the query used in megabytes, 0 if it was not reported. */
--- a/src/test/java/cairnline/protocol/HttpDecoderTest.java
+++ b/src/test/java/cairnline/protocol/HttpDecoderTest.java
@@ -44,14 +44,14 @@
 
     @Test
     void joinsPagesInOrderAndLeavesSinglePageUnchanged() {
-        ODataPages one = new ODataPages();
-        HttpMessage single = HttpMessage.response(200, "application/json", "{ \"value\":[1.50] }".getBytes());
-        assertNull(one.addPage(single));
-        assertEquals("{ \"value\":[1.50] }", new String(one.join().body(), StandardCharsets.UTF_8));
-        ODataPages two = new ODataPages();
-        assertEquals("/Books?$skiptoken=2", two.addPage(HttpMessage.response(200, "application/json",
+        ODataPages singlePage = new ODataPages();
+        HttpMessage response = HttpMessage.response(200, "application/json", "{ \"value\":[1.50] }".getBytes());
+        assertNull(singlePage.addPage(response));
+        assertEquals("{ \"value\":[1.50] }", new String(singlePage.join().body(), StandardCharsets.UTF_8));
+        ODataPages twoPages = new ODataPages();
+        assertEquals("/Books?$skiptoken=2", twoPages.addPage(HttpMessage.response(200, "application/json",
                 "{\"value\":[1.50],\"@odata.nextLink\":\"http://e/Books?$skiptoken=2\"}".getBytes())));
-        assertNull(two.addPage(HttpMessage.response(200, "application/json", "{\"value\":[2,3]}".getBytes())));
-        assertEquals("{\"value\":[1.50,2,3]}", new String(two.join().body(), StandardCharsets.UTF_8));
+        assertNull(twoPages.addPage(HttpMessage.response(200, "application/json", "{\"value\":[2,3]}".getBytes())));
+        assertEquals("{\"value\":[1.50,2,3]}", new String(twoPages.join().body(), StandardCharsets.UTF_8));
     }
 }
