--- a/deploy/discovery.cue
+++ b/deploy/discovery.cue
@@ -1,4 +1,5 @@
-// Starting without the control feed, for installations with a disk that lasts. Off on the platform, which has none.
+// Stores the engine list for a start without the control feed, on installations with a persistent disk.
+// Not used on the platform, which has no persistent disk.
 discovery: {
 	snapshot: {
 		dir:   "kept-list"
--- a/deploy/trace.cue
+++ b/deploy/trace.cue
@@ -1,4 +1,4 @@
-// Each step of each request in the log, to follow one by its id through all managers that handled it; off in service.
+// Logs each step of each request, to trace a request by its id across the managers that handled it. Not enabled in production.
 log: {
 	level: "requests"
 	queue: 65536
--- a/src/main/antlr4/cairnline/settings/grammar/Cue.g4
+++ b/src/main/antlr4/cairnline/settings/grammar/Cue.g4
@@ -1,4 +1,4 @@
-/* The subset of CUE in which settings and their schema are written; docs/settings.md tells what it means. */
+/* The subset of CUE for settings files and their schema; docs/settings.md describes its meaning. */
 grammar Cue;
 
 document : (struct | fields) EOF ;
--- a/src/main/resources/cairnline/settings/schema.cue
+++ b/src/main/resources/cairnline/settings/schema.cue
@@ -1,10 +1,10 @@
-// What a settings file may hold. Every file is unified with #Settings; what it leaves out has the default marked *.
+// Schema of the settings file. Each file is unified with #Settings; omitted settings take the default marked with *.
 
 #Address: string & =~"^.+:[0-9]{1,5}$"
 #Name:    string & =~"^[A-Za-z_][A-Za-z0-9_]{0,127}$"
 
 #Settings: {
-	// The OData front: on where "sets" is given.
+	// The OData front, which is enabled if "sets" is given.
 	listen?:  #Address
 	feed?:    #Address
 	engines?: [...#Engine]
@@ -29,48 +29,49 @@
 	tables?:    int & >=-1
 }
 
-// Starting without the control feed.
+// Stored engine list, which allows a start without the control feed.
 #Discovery: {
 	snapshot: {
-		// The folder of the kept list; without it nothing is kept, and none is read.
+		// Folder of the stored engine list; if it is not set, the list is neither written nor read.
 		dir?: string & =~"."
-		// Files that are kept.
+		// Number of snapshot files that are kept.
 		generations: *4 | int & >=1 & <=100
-		// Between two writes while no engine begins to drain and none ends.
+		// Interval between writes; a write is immediate when an engine starts to drain or is removed.
 		every: *10s | duration & >=100ms & <=1h
-		// Writes at most, urgent and failed ones included.
+		// Limit on writes, including immediate and failed ones.
 		writesPerMinute: *30 | int & >=1 & <=600
-		// Of one file; a larger one is neither written nor read.
+		// Maximum size of a snapshot file; larger ones are neither written nor read.
 		maxBytes: *16MiB | size & >=1KiB & <=256MiB
-		// A file dated later than now by more than this is skipped.
+		// Allowed clock skew: a file dated further in the future is skipped.
 		clocksDiffer: *2h | duration & >=0s & <=168h
-		// After a failed write: the first pause, and the one to which pauses grow.
+		// Exponential back-off after failed writes: initial and maximum delay.
 		pauseLeast: *1s | duration & >=10ms & <=1h
 		pauseMost:  *1m | duration & >=10ms & <=24h
 	}
 	trust: {
-		// After this, trust in an entry that nothing has confirmed has halved.
+		// Time in which the trust in an entry halves unless something confirms it.
 		halfLife: *6h | duration & >=1s & <=8760h
-		// Trust in an entry that was confirmed just now.
+		// Trust in an entry that has just been confirmed.
 		fresh: *0.95 | number & >0 & <1
-		// A probe not answered by then counts as silence.
+		// Time-out of a probe; without an answer the engine counts as unreachable.
 		probeWithin: *400ms | duration & >=10ms & <=10s
-		// Between two probes of an entry that needs more evidence; pauses of an ill one grow from it to the second.
+		// Interval between probes of an entry that needs more evidence; for an unhealthy engine the interval grows
+		// from probePause to probePauseMost.
 		probePause:     *100ms | duration & >=10ms & <=1m
 		probePauseMost: *5s | duration & >=10ms & <=10m
-		// Probes that may be out at once.
+		// Limit on concurrent probes.
 		probesAtOnce: *64 | int & >=1 & <=1024
-		// Engines offered from which on no further entry is probed for the first time.
+		// Number of available engines from which on no further entries are probed for the first time.
 		enough: *1024 | int & >=1 & <=100000
-		// When to come back if nothing can be offered and no probe is due.
+		// Retry-after time for clients if no engine is available and no probe is scheduled.
 		advice: *1s | duration & >=100ms & <=1h
 	}
 }
 
 #Log: {
 	format: *"text" | "json"
-	// "requests" adds a line for each step of each request.
+	// "requests" adds a log line for each step of each request.
 	level: *"events" | "requests"
-	// Events that wait to be written; what comes when they are so many is dropped and counted.
+	// Capacity of the queue of unwritten events; further events are dropped and counted while it is full.
 	queue: *1024 | int & >=16 & <=65536
 }
