--- a/src/main/java/cairnline/settings/Unifier.java
+++ b/src/main/java/cairnline/settings/Unifier.java
@@ -129,7 +129,7 @@
         return true;
     }
 
-    /** Reports the first part, which comes from the file, as a mismatch with the others. */
+    /** Reports that the first part, which is that of the file, does not satisfy the others. */
     private void reportMismatch(String path, List<Expr> parts) {
         Expr found = parts.get(0);
         String allowed = parts.stream().skip(1).map(Expr::toString).distinct().collect(Collectors.joining(" & "));
@@ -177,6 +177,7 @@
         return null;
     }
 
+    /** Creates a unifier for a trial, whose problems do not affect the outer one. */
     private Unifier(Unifier outer) {
         this.definitions = outer.definitions;
         this.closedRecords.addAll(outer.closedRecords);
@@ -186,24 +187,25 @@
 
     private Map<String, Object> unifyRecords(String path, List<Struct> structs) {
         Set<String> names = new LinkedHashSet<>();
-        structs.forEach(s -> s.fields().forEach(f -> names.add(f.name())));
+        structs.forEach(struct -> struct.fields().forEach(field -> names.add(field.name())));
         Map<String, Object> record = new LinkedHashMap<>();
         for (String name : names) {
             String fieldPath = path.isEmpty() ? name : path + "." + name;
             List<Expr> values = new ArrayList<>();
             boolean isPresent = false;
             SourcePosition position = null;
-            for (Struct s : structs) {
-                for (Field f : s.fields()) {
-                    if (f.name().equals(name)) {
-                        values.add(f.value());
-                        isPresent |= !f.optional();
-                        position = position == null ? f.position() : position;
+            for (Struct struct : structs) {
+                for (Field field : struct.fields()) {
+                    if (field.name().equals(name)) {
+                        values.add(field.value());
+                        isPresent |= !field.optional();
+                        position = position == null ? field.position() : position;
                     }
                 }
-                s.patterns().stream().filter(p -> matches(p, name)).forEach(p -> values.add(p.value()));
+                struct.patterns().stream().filter(pattern -> matches(pattern, name))
+                        .forEach(pattern -> values.add(pattern.value()));
             }
-            Struct rejectingRecord = structs.stream().filter(s -> !accepts(s, name)).findFirst().orElse(null);
+            Struct rejectingRecord = structs.stream().filter(struct -> !accepts(struct, name)).findFirst().orElse(null);
             if (rejectingRecord != null) {
                 problems.add(new Problem(position, fieldPath, "unknown key", suggestedKeys(name, rejectingRecord)));
             } else if (isPresent) {
@@ -213,9 +215,10 @@
         return record;
     }
 
-    private boolean accepts(Struct s, String name) {
-        return !closedRecords.contains(s) || s.acceptsOtherFields() || s.fields().stream().anyMatch(f -> f.name().equals(name))
-                || s.patterns().stream().anyMatch(p -> matches(p, name));
+    private boolean accepts(Struct struct, String name) {
+        return !closedRecords.contains(struct) || struct.acceptsOtherFields()
+                || struct.fields().stream().anyMatch(field -> field.name().equals(name))
+                || struct.patterns().stream().anyMatch(pattern -> matches(pattern, name));
     }
 
     private boolean matches(Pattern pattern, String name) {
@@ -296,20 +299,20 @@
 
     /** Converts a string to a quantity where one is expected, since JSON has no literals with units. */
     private static Object withUnits(Object value, List<Expr> parts) {
-        boolean expectsQuantity = ofType(parts, Type.class).stream().anyMatch(t -> t.kind() == Type.Kind.DURATION
-                || t.kind() == Type.Kind.SIZE) || ofType(parts, Scalar.class).stream().anyMatch(s ->
-                s.value() instanceof Quantity);
+        boolean expectsQuantity = ofType(parts, Type.class).stream().anyMatch(type -> type.kind() == Type.Kind.DURATION
+                || type.kind() == Type.Kind.SIZE) || ofType(parts, Scalar.class).stream().anyMatch(scalar ->
+                scalar.value() instanceof Quantity);
         Quantity quantity = expectsQuantity && value instanceof String text ? Quantity.parse(text) : null;
         return quantity != null ? quantity : value;
     }
 
     private boolean satisfiesPart(Object value, Expr part, List<Expr> parts) {
-        if (part instanceof Scalar s) {
-            return equalValues(value, withUnits(s.value(), parts));
-        } else if (part instanceof Type t) {
-            return hasType(value, t.kind());
+        if (part instanceof Scalar scalar) {
+            return equalValues(value, withUnits(scalar.value(), parts));
+        } else if (part instanceof Type type) {
+            return hasType(value, type.kind());
         }
-        return part instanceof Bound b && satisfies(value, b, withUnits(b.limit().value(), parts));
+        return part instanceof Bound bound && satisfies(value, bound, withUnits(bound.limit().value(), parts));
     }
 
     private static boolean equalValues(Object a, Object b) {
--- a/src/main/java/cairnline/store/SnapshotCodec.java
+++ b/src/main/java/cairnline/store/SnapshotCodec.java
@@ -20,9 +20,9 @@
  *
  * <pre>
  * magic "CAIRNLST" | version u16 | length of all u32 | saved at i64 (us) | engines u32
- * then for each engine: id, address, zone, kind (u16 length, UTF-8) | listed u8 | state u8 | cell i32 | size f64
- *                       | started at, told at, alive at i64 (us)
- * then MurmurHash3 (128 bits, x64) of all before it
+ * then for each engine: id, address, zone, machine type (u16 length, UTF-8) | status u8 | state u8 | cell i32 | size f64
+ *                       | started at, last reported at, last alive at i64 (us)
+ * then MurmurHash3 (128 bits, x64) of all preceding bytes
  * </pre>
  *
  * <p>Later versions of the format must keep the first 14 bytes, so that this version recognises them.
