--- a/src/main/java/cairnline/program/Rehearsal.java
+++ b/src/main/java/cairnline/program/Rehearsal.java
@@ -106,12 +106,12 @@
             if (recorded == null) {
                 return;
             }
-            if (recorded.writes() && !options.writes()) {
+            if (recorded.isWrite() && !options.writes()) {
                 writesLeftOut++;
                 continue;
             }
-            first = first == Long.MIN_VALUE ? recorded.at() : first;
-            long due = start + (long) (Math.max(0, recorded.at() - first) / options.speed());
+            first = first == Long.MIN_VALUE ? recorded.timestampMillis() : first;
+            long due = start + (long) (Math.max(0, recorded.timestampMillis() - first) / options.speed());
             if (due > end) {
                 return;
             }
@@ -139,13 +139,13 @@
             } catch (ProtocolException e) {
                 badCount++;
                 if (bad.size() < NAMED) {
-                    bad.add(recording.place() + ": " + e.getMessage());
+                    bad.add(recording.position() + ": " + e.getMessage());
                 }
             } catch (MalformedInputException e) {
-                throw new ConfigurationException("--access-log", recording.place() + " and on: not UTF-8 text");
+                throw new ConfigurationException("--access-log", recording.position() + " and on: not UTF-8 text");
             } catch (IOException e) {
                 throw new ConfigurationException(options.har() != null ? "--har" : "--access-log",
-                        "after " + recording.place() + ": " + e.getMessage());
+                        "after " + recording.position() + ": " + e.getMessage());
             }
         }
     }
--- a/src/main/java/cairnline/program/ServeSettings.java
+++ b/src/main/java/cairnline/program/ServeSettings.java
@@ -27,7 +27,7 @@
         Resolved in = file == null ? null : SettingsFile.read(file);
         long warmWithin = configuration.settings().rules().warmWithin() / NANOS_PER_MICRO;
         if (in == null) {
-            return new ServeSettings(null, false, null, null, StoreSettings.usual(), TrustSettings.defaults(warmWithin),
+            return new ServeSettings(null, false, null, null, StoreSettings.defaults(), TrustSettings.defaults(warmWithin),
                     EventLog.Format.TEXT, LOG_QUEUE, false);
         }
         ODataConfiguration odata = odataAsked || in.has("sets")
@@ -35,7 +35,7 @@
         return new ServeSettings(file, odataAsked, odata,
                 in.has("discovery.snapshot.dir") ? Path.of(in.text("discovery.snapshot.dir")) : null, store(in),
                 trust(in, warmWithin), EventLog.Format.valueOf(in.text("log.format").toUpperCase(Locale.ROOT)),
-                in.whole("log.queue"), in.text("log.level").equals("requests"));
+                in.integer("log.queue"), in.text("log.level").equals("requests"));
     }
 
     private static final int LOG_QUEUE = 1_024;
@@ -43,22 +43,22 @@
     private static StoreSettings store(Resolved in) {
         String at = "discovery.snapshot.";
         ordered(in, at + "pauseLeast", at + "pauseMost");
-        return new StoreSettings(in.whole(at + "generations"), in.amount(at + "every"),
-                in.whole(at + "writesPerMinute"), (int) in.amount(at + "maxBytes"), in.amount(at + "clocksDiffer"),
-                in.amount(at + "pauseLeast"), in.amount(at + "pauseMost"));
+        return new StoreSettings(in.integer(at + "generations"), in.microsOrBytes(at + "every"),
+                in.integer(at + "writesPerMinute"), (int) in.microsOrBytes(at + "maxBytes"), in.microsOrBytes(at + "clocksDiffer"),
+                in.microsOrBytes(at + "pauseLeast"), in.microsOrBytes(at + "pauseMost"));
     }
 
     private static TrustSettings trust(Resolved in, long warmWithin) {
         String at = "discovery.trust.";
         ordered(in, at + "probePause", at + "probePauseMost");
-        return new TrustSettings(in.amount(at + "halfLife"), in.number(at + "fresh"), warmWithin,
-                in.amount(at + "probeWithin"), in.amount(at + "probePause"), in.amount(at + "probePauseMost"),
-                in.whole(at + "probesAtOnce"), in.whole(at + "enough"), in.amount(at + "advice"));
+        return new TrustSettings(in.microsOrBytes(at + "halfLife"), in.number(at + "fresh"), warmWithin,
+                in.microsOrBytes(at + "probeWithin"), in.microsOrBytes(at + "probePause"), in.microsOrBytes(at + "probePauseMost"),
+                in.integer(at + "probesAtOnce"), in.integer(at + "enough"), in.microsOrBytes(at + "advice"));
     }
 
     /** No schema says that one key may not be more than another. */
     private static void ordered(Resolved in, String least, String most) {
-        if (in.amount(least) > in.amount(most)) {
+        if (in.microsOrBytes(least) > in.microsOrBytes(most)) {
             throw new ConfigurationException(least, "is more than " + most);
         }
     }
--- a/src/main/java/cairnline/program/Server.java
+++ b/src/main/java/cairnline/program/Server.java
@@ -1,7 +1,7 @@
 package cairnline.program;
 
 import cairnline.logs.EventLog;
-import cairnline.logs.Events;
+import cairnline.logs.EventSink;
 import cairnline.membership.EngineListStore;
 import cairnline.pools.ConnectionBudget;
 import cairnline.protocol.FeedEvent;
@@ -15,7 +15,7 @@
 import cairnline.settings.SettingsException;
 import cairnline.store.Snapshot;
 import cairnline.store.SnapshotFolder;
-import cairnline.store.SnapshotKeeper;
+import cairnline.store.SnapshotWriter;
 import cairnline.transport.ClientFront;
 import cairnline.transport.EventLoop;
 import cairnline.transport.FeedClient;
@@ -37,7 +37,7 @@
     private final WallClock wallClock = new WallClock(clock);
     private final EventLog log;
     private final EventLoop loop;
-    private final SnapshotKeeper keeper;
+    private final SnapshotWriter keeper;
     private final Dispatcher core;
     private final EngineListUpdates list;
     private final FeedClient feed;
@@ -55,7 +55,7 @@
                 : new SnapshotFolder(settings.snapshots(), settings.store(), log);
         ConnectionBudget<PooledLink.Connection> connections =
                 new ConnectionBudget<>(limits.engines().connections(), limits.engines().idleTimeout());
-        keeper = folder == null ? null : new SnapshotKeeper(folder, settings.store(), log, clock::micros);
+        keeper = folder == null ? null : new SnapshotWriter(folder, settings.store(), log, clock::micros);
         core = new Dispatcher(configuration.settings(), configuration.seed(), limits, clock,
                 line -> log.warn("module", line),
                 (engine, owner) -> new RespLink(engine.id(), reach(engine.address(), log), owner, limits, loop, connections,
@@ -72,19 +72,19 @@
             remember(folder);
         }
         // As one event: its actor does not run yet, and its mailbox holds fewer than a long day has.
-        list.submitUpdate(configuration.knownLast(), true, configuration.known().stream().allMatch(e -> e.hosts() == null) ? null
-                : FeedClient.toListedEngines(FeedEvent.standing(configuration.knownLast(), configuration.known()), wallClock));
+        list.submitUpdate(configuration.knownLast(), true, configuration.known().stream().allMatch(e -> e.engines() == null) ? null
+                : FeedClient.toListedEngines(FeedEvent.currentList(configuration.knownLast(), configuration.known()), wallClock));
         odata = settings.odata() == null ? null
                 : new ODataServer(configuration, settings.odata(), loop, log);
     }
 
     /** What the configuration knows comes from the feed itself, and so stands above what the disk remembers. */
     private void remember(SnapshotFolder folder) {
-        if (started.known().stream().anyMatch(event -> event.hosts() != null && !event.hosts().isEmpty())) {
+        if (started.known().stream().anyMatch(event -> event.engines() != null && !event.engines().isEmpty())) {
             log.info("snapshot.unused", "the configuration names engines; the kept list is not read");
             return;
         }
-        Snapshot kept = folder.newest(clock.micros());
+        Snapshot kept = folder.loadNewest(clock.micros());
         if (kept != null) {
             core.restoreList(kept.engines());
             log.info("snapshot.restored", "starts from the kept list until the control feed tells", "engines",
@@ -119,7 +119,7 @@
 
     private void tell(Configuration configuration) {
         configuration.known().forEach(event ->
-                list.submitUpdate(event.number(), event.whole(), FeedClient.toListedEngines(event, wallClock)));
+                list.submitUpdate(event.number(), event.complete(), FeedClient.toListedEngines(event, wallClock)));
     }
 
     /** Reads the configuration again, all of it before any of it counts; with a fault in it the old one stays. */
@@ -165,7 +165,7 @@
     }
 
     /** An address that can't be read is one that can't be reached; the other engines of its event still count. */
-    static InetSocketAddress reach(String address, Events log) {
+    static InetSocketAddress reach(String address, EventSink log) {
         try {
             return Configuration.address("dial", address);
         } catch (ConfigurationException e) {
--- a/src/main/java/cairnline/transport/BlockingHttpClient.java
+++ b/src/main/java/cairnline/transport/BlockingHttpClient.java
@@ -36,12 +36,12 @@
                 decoder = new HttpDecoder(1 << 16, maxBodyBytes);
             }
             String host = address.getHostString() + ":" + address.getPort();
-            socket.getOutputStream().write(request.with("host", host).bytes());
+            socket.getOutputStream().write(request.withHeader("host", host).encode());
             HttpMessage answer = readAnswer(socket.getInputStream());
-            if (decoder.partial()) {
+            if (decoder.hasPartialInput()) {
                 throw new ProtocolException("received more than one answer");
             }
-            if (answer.closes()) {
+            if (answer.closesConnection()) {
                 close();
             }
             return answer;
--- a/src/main/java/cairnline/transport/ClientFront.java
+++ b/src/main/java/cairnline/transport/ClientFront.java
@@ -1,6 +1,6 @@
 package cairnline.transport;
 
-import cairnline.logs.Events;
+import cairnline.logs.EventSink;
 import cairnline.routing.Dispatcher;
 import cairnline.routing.Limits;
 import java.nio.channels.SocketChannel;
@@ -15,7 +15,7 @@
 
     /** Creates a server at this listener for the given request classes, by their names. */
     public ClientFront(Listener listener, Dispatcher dispatcher, Map<String, ClassRequirements> classRequirements, Limits limits,
-                       Events log) {
+                       EventSink log) {
         super(listener, dispatcher, limits, log);
         this.classRequirements = classRequirements;
     }
--- a/src/main/java/cairnline/transport/ClientSession.java
+++ b/src/main/java/cairnline/transport/ClientSession.java
@@ -128,10 +128,10 @@
                 complete = true;
                 handleFrame(frame, receivedAt);
             }
-            activity.onRead(receivedAt, complete, frames.partial());
-            if (!activity.setHeldBytes(frames.held())) {
-                frames.dropPartial();
-                activity.setHeldBytes(frames.held());
+            activity.onRead(receivedAt, complete, frames.hasPartialInput());
+            if (!activity.setHeldBytes(frames.bufferedBytes())) {
+                frames.dropPartialPayload();
+                activity.setHeldBytes(frames.bufferedBytes());
             }
         } catch (ProtocolException e) {
             stopReading(e.getMessage());
@@ -140,7 +140,7 @@
 
     /** Stops reading after a protocol violation or timeout; open requests are still answered. */
     private void stopReading(String problem) {
-        long partialStream = frames.partialRequest();
+        long partialStream = frames.partialRequestStream();
         front.log().warn("client.unreadable", problem, "peer", connection.address(), "open",
                 requestIds(copyOpenRequests()));
         connection.send(errorFrame(problem));
@@ -190,7 +190,7 @@
     /** Drains: open requests are answered, since a client that has closed its output may still read. */
     @Override
     public boolean onInputClosed(long since) {
-        if (frames.partial() && !isDraining()) {
+        if (frames.hasPartialInput() && !isDraining()) {
             stopReading("the connection ended inside a frame");
             return true;
         }
@@ -245,9 +245,9 @@
     private void handleFrame(Frame frame, long receivedAt) {
         switch (frame.type()) {
             case ClientFrames.REQUEST -> handleRequest(frame, receivedAt);
-            case ClientFrames.WITHDRAWN -> cancelRequest(frame.stream());
-            case ClientFrames.READY_QUESTION ->
-                    connection.send(ClientFrames.ready(frame.stream(), front.dispatcher().isReady()));
+            case ClientFrames.CANCEL_REQUEST -> cancelRequest(frame.stream());
+            case ClientFrames.READINESS_REQUEST ->
+                    connection.send(ClientFrames.readinessAnswer(frame.stream(), front.dispatcher().isReady()));
             default -> throw new ProtocolException("type " + frame.type() + " is not a client's");
         }
     }
@@ -265,7 +265,7 @@
             // The client could mistake the answer for the answer to the first request on that stream.
             throw new ProtocolException("stream " + stream + " is not new on this connection");
         }
-        if (frame.isDropped()) {
+        if (frame.payloadDropped()) {
             connection.send(textAnswer(stream, ClientFrames.CODE_REFUSED, "too much has begun and not ended"));
             return;
         }
@@ -275,7 +275,7 @@
             return;
         }
         try {
-            Content content = ClientFrames.content(frame.payload());
+            Content content = ClientFrames.parseContent(frame.payload());
             submit(stream, toRequest(ClientRequest.read(content), stream, receivedAt));
         } catch (ProtocolException e) {
             connection.send(textAnswer(stream, ClientFrames.CODE_FAILED, e.getMessage()));
@@ -307,16 +307,16 @@
         if (requirements == null) {
             throw new ProtocolException("op names no class: " + message.type());
         }
-        if (requirements.needsIdempotencyKey() && message.repeatKey() == null) {
+        if (requirements.needsIdempotencyKey() && message.idempotencyKey() == null) {
             throw new ProtocolException("dedupe is missing for class " + message.type());
         }
-        if (requirements.needsOrderingKey() && message.order() == null) {
+        if (requirements.needsOrderingKey() && message.orderingKey() == null) {
             throw new ProtocolException("row is missing for class " + message.type());
         }
         return new Request(message.id(), message.type(), message.statement(),
-                requirements.needsIdempotencyKey() ? message.repeatKey() : null,
-                requirements.needsOrderingKey() ? message.order() : null, receivedAt, Clock.ofMillis(message.ttlMs()),
-                message.workMicros(), message.memory(), message.tables(), (request, answer) -> sendAnswer(stream, answer));
+                requirements.needsIdempotencyKey() ? message.idempotencyKey() : null,
+                requirements.needsOrderingKey() ? message.orderingKey() : null, receivedAt, Clock.ofMillis(message.ttlMs()),
+                message.workMicros(), message.memory(), message.tableGroup(), (request, answer) -> sendAnswer(stream, answer));
     }
 
     /**
--- a/src/main/java/cairnline/transport/FeedClient.java
+++ b/src/main/java/cairnline/transport/FeedClient.java
@@ -8,7 +8,7 @@
 import cairnline.routing.EngineListUpdates;
 import cairnline.routing.Limits;
 import cairnline.routing.WallClock;
-import cairnline.logs.Events;
+import cairnline.logs.EventSink;
 import cairnline.membership.ListedEngine;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -25,7 +25,7 @@
     private final Limits limits;
     private final Clock clock;
     private final WallClock wallClock;
-    private final Events log;
+    private final EventSink log;
     private InetSocketAddress address;
     private boolean firstReadReported;
     /** The connection to {@link #address}; closing it interrupts the reading thread. */
@@ -33,7 +33,7 @@
 
     /** Creates a client, not yet started. */
     public FeedClient(InetSocketAddress address, EngineListUpdates list, Limits limits, Clock clock, WallClock wallClock,
-                      Events log) {
+                      EventSink log) {
         this.address = address;
         this.list = list;
         this.limits = limits;
@@ -115,7 +115,7 @@
         for (int count = readFirst(source, buffer); count >= 0; count = receive(source, buffer, deadline)) {
             bytes.feed(buffer, 0, count);
             for (int lineEnd = bytes.indexOf('\n', scannedBytes); lineEnd >= 0; lineEnd = bytes.indexOf('\n', 0)) {
-                applyEvent(FeedEvent.line(bytes.take(lineEnd)));
+                applyEvent(FeedEvent.parseLine(bytes.take(lineEnd)));
                 bytes.skip(1);
                 deadline = clock.micros() + limits.feed().silenceTimeout();
             }
@@ -150,22 +150,22 @@
     private void applyEvent(FeedEvent event) {
         wallClock.sample();
         if (event != null) {
-            list.submitUpdate(event.number(), event.whole(), toListedEngines(event, wallClock));
+            list.submitUpdate(event.number(), event.complete(), toListedEngines(event, wallClock));
         }
     }
 
     /** Converts the entries of an event for the dispatcher; null if the event does not change the list. */
     public static List<ListedEngine> toListedEngines(FeedEvent event, WallClock wallClock) {
-        return event.hosts() == null ? null : event.hosts().stream().map(entry -> toListedEngine(entry, wallClock)).toList();
+        return event.engines() == null ? null : event.engines().stream().map(entry -> toListedEngine(entry, wallClock)).toList();
     }
 
-    private static ListedEngine toListedEngine(FeedEvent.Host entry, WallClock wallClock) {
+    private static ListedEngine toListedEngine(FeedEvent.EngineEntry entry, WallClock wallClock) {
         Listed status = switch (entry.state()) {
             case IN_SERVICE -> Listed.READY;
             case TERMINATING -> Listed.DRAINING;
             case TERMINATED -> Listed.GONE;
         };
-        long startedAt = wallClock.startOf(entry.id(), Clock.ofUnix(entry.bornMs()));
+        long startedAt = wallClock.startOf(entry.id(), Clock.ofUnix(entry.startedAtMillis()));
         if (status == Listed.GONE) {
             wallClock.forget(entry.id());
         }
--- a/src/main/java/cairnline/transport/HttpConnection.java
+++ b/src/main/java/cairnline/transport/HttpConnection.java
@@ -94,11 +94,11 @@
             dispatcher.attemptEnded(newAttempt, Attempt.Result.of(End.NOT_SENT));
             return null;
         }
-        return withHost(HttpMessage.of(newAttempt.request().statement()));
+        return withHost(HttpMessage.parse(newAttempt.request().statement()));
     }
 
     private byte[] withHost(HttpMessage request) {
-        return request.with("host", address.getHostString() + ":" + address.getPort()).bytes();
+        return request.withHeader("host", address.getHostString() + ":" + address.getPort()).encode();
     }
 
     @Override
@@ -158,20 +158,20 @@
         boolean usable = answer.status() / 100 == 2 || pageCount == 0;
         String nextTarget = null;
         try {
-            nextTarget = usable ? pages.take(answer) : null;
+            nextTarget = usable ? pages.addPage(answer) : null;
             pageCount++;
         } catch (ProtocolException e) {
             usable = false;
         }
         if (!usable || pageCount > limits.http().pages()) {
             endAttempt(answer, Attempt.Result.of(End.ERROR));
-        } else if (nextTarget != null && current.isWanted() && !answer.closes()) {
+        } else if (nextTarget != null && current.isWanted() && !answer.closesConnection()) {
             connection.send(withHost(HttpMessage.request("GET", nextTarget, Map.of("accept", "application/json"),
                     new byte[0])));
         } else if (nextTarget != null && current.isWanted()) {
             endAttempt(answer, Attempt.Result.of(End.ERROR));
         } else {
-            byte[] joined = pages.whole().bytes();
+            byte[] joined = pages.join().encode();
             endAttempt(answer, joined.length > limits.http().bodyBytes() ? Attempt.Result.of(End.ERROR)
                     : new Attempt.Result(End.OK, joined, 0, 0));
         }
@@ -188,12 +188,12 @@
         synchronized (this) {
             ended = attempt;
             attempt = null;
-            closed |= answer.closes();
+            closed |= answer.closesConnection();
         }
         if (ended != null) {
             dispatcher.attemptEnded(ended, result);
         }
-        if (answer.closes()) {
+        if (answer.closesConnection()) {
             close();
         }
     }
--- a/src/main/java/cairnline/transport/Listener.java
+++ b/src/main/java/cairnline/transport/Listener.java
@@ -1,6 +1,6 @@
 package cairnline.transport;
 
-import cairnline.logs.Events;
+import cairnline.logs.EventSink;
 import cairnline.routing.Clock;
 import cairnline.routing.Limits;
 import java.io.IOException;
@@ -34,7 +34,7 @@
     private final Limits limits;
     private final int maxConnections;
     private final Clock clock;
-    private final Events log;
+    private final EventSink log;
     private Function<SocketChannel, Session> sessionFactory;
 
     /* The fields below are confined to the loop's thread, except that any thread may read sessionCount. */
@@ -90,7 +90,7 @@
     }
 
     /** Binds the address, for up to {@code maxConnections} connections at once; throws if the address is not available. */
-    public Listener(InetSocketAddress address, int maxConnections, Limits limits, EventLoop loop, Events log)
+    public Listener(InetSocketAddress address, int maxConnections, Limits limits, EventLoop loop, EventSink log)
             throws IOException {
         this.limits = limits;
         this.loop = loop;
--- a/src/main/java/cairnline/transport/ODataBatchExecution.java
+++ b/src/main/java/cairnline/transport/ODataBatchExecution.java
@@ -39,7 +39,7 @@
     /** Starts the batch; {@code listener} receives the answer of the complete batch, on the event loop. */
     void start(Consumer<HttpMessage> listener) {
         completionListener = listener;
-        Set<String> unsupportedGroups = batch.manyInGroup();
+        Set<String> unsupportedGroups = batch.multiRequestGroups();
         for (int i = 0; i < requests.length; i++) {
             Item item = batch.items().get(i);
             try {
--- a/src/main/java/cairnline/transport/ODataCall.java
+++ b/src/main/java/cairnline/transport/ODataCall.java
@@ -39,9 +39,9 @@
         long timeout = odataRequest.waitMs() > 0 ? Math.min(maxTimeout, Clock.ofMillis(odataRequest.waitMs()))
                 : maxTimeout;
         this.request = new Request(String.format("%016x", CALL_COUNTER.incrementAndGet()), odataRequest.type(),
-                odataRequest.passed().bytes(), odataRequest.repeatKey(),
-                odataRequest.write() ? orderingKeyHash(odataRequest.order()) : null, receivedAt, timeout, 0, 0,
-                odataRequest.set().tables(), (request, answer) -> onAnswer.accept(toHttp(answer)));
+                odataRequest.forwarded().encode(), odataRequest.idempotencyKey(),
+                odataRequest.write() ? orderingKeyHash(odataRequest.orderingKey()) : null, receivedAt, timeout, 0, 0,
+                odataRequest.set().tableGroup(), (request, answer) -> onAnswer.accept(toHttp(answer)));
     }
 
     /** Parses an HTTP request against the model of this server. */
@@ -66,7 +66,7 @@
 
     /** Answers the call with an error instead of starting it. */
     void refuse(String reason) {
-        onAnswer.accept(ODataModel.error(503, reason).with("retry-after", "1"));
+        onAnswer.accept(ODataModel.error(503, reason).withHeader("retry-after", "1"));
     }
 
     /** Abandons the request, since the client can no longer receive an answer. */
@@ -77,8 +77,8 @@
     private static HttpMessage toHttp(Answer answer) {
         try {
             return switch (answer.kind()) {
-                case SERVED -> HttpMessage.of(answer.rows());
-                case REFUSED -> ODataModel.error(503, answer.reason()).with("retry-after",
+                case SERVED -> HttpMessage.parse(answer.rows());
+                case REFUSED -> ODataModel.error(503, answer.reason()).withHeader("retry-after",
                         Long.toString(Math.max(1, (answer.retryAfter() + MICROS_PER_SECOND - 1) / MICROS_PER_SECOND)));
                 case FAILED -> ODataModel.error(answer.timedOut() ? 504 : 502, answer.reason());
             };
--- a/src/main/java/cairnline/transport/ODataFront.java
+++ b/src/main/java/cairnline/transport/ODataFront.java
@@ -1,6 +1,6 @@
 package cairnline.transport;
 
-import cairnline.logs.Events;
+import cairnline.logs.EventSink;
 import cairnline.protocol.ODataModel;
 import cairnline.routing.Dispatcher;
 import cairnline.routing.Limits;
@@ -17,7 +17,7 @@
      * of their own, in microseconds.
      */
     public ODataFront(Listener listener, Dispatcher dispatcher, ODataModel model, Map<String, Long> timeouts, Limits limits,
-                      Events log) {
+                      EventSink log) {
         super(listener, dispatcher, limits, log);
         this.model = model;
         this.timeouts = timeouts;
--- a/src/main/java/cairnline/transport/ODataSession.java
+++ b/src/main/java/cairnline/transport/ODataSession.java
@@ -76,8 +76,8 @@
 
     @Override
     public void reject() {
-        TcpConnection.reject(channel, ODataModel.error(503, "too many connections").with("retry-after", "1")
-                .with("connection", "close").bytes());
+        TcpConnection.reject(channel, ODataModel.error(503, "too many connections").withHeader("retry-after", "1")
+                .withHeader("connection", "close").encode());
     }
 
     @Override
@@ -115,9 +115,9 @@
                 ReceivedRequest received = new ReceivedRequest(request, receivedAt);
                 connection.enqueue(now -> queueRequest(received));
             }
-            activity.onRead(receivedAt, complete, decoder.partial());
-            if (!activity.setHeldBytes(decoder.held())) {
-                closeInput(ODataModel.error(503, "too much has begun and not ended").with("retry-after", "1"));
+            activity.onRead(receivedAt, complete, decoder.hasPartialInput());
+            if (!activity.setHeldBytes(decoder.bufferedBytes())) {
+                closeInput(ODataModel.error(503, "too much has begun and not ended").withHeader("retry-after", "1"));
             }
         } catch (ProtocolException e) {
             closeInput(ODataModel.error(400, e.getMessage()));
@@ -141,7 +141,7 @@
         }
         outputFinished = true;
         if (finalAnswer != null) {
-            connection.send(finalAnswer.with("connection", "close").bytes());
+            connection.send(finalAnswer.withHeader("connection", "close").encode());
         }
         connection.finishOutput();
     }
@@ -162,7 +162,7 @@
     @Override
     public boolean onInputClosed(long since) {
         front.loop().schedule(since + DETACH_DELAY_MICROS, connection, this::detachOpenCalls);
-        closeInput(decoder.partial() ? ODataModel.error(400, "the connection ended inside a request") : null);
+        closeInput(decoder.hasPartialInput() ? ODataModel.error(400, "the connection ended inside a request") : null);
         return true;
     }
 
@@ -256,15 +256,15 @@
         serving = false;
         unansweredCount.decrementAndGet();
         activity.onAnswered(front.clock().micros());
-        boolean isLast = request.closes() || front.isStopping();
-        HttpMessage versioned = answer.headers().containsKey("odata-version") ? answer : answer.with("odata-version",
+        boolean isLast = request.closesConnection() || front.isStopping();
+        HttpMessage versioned = answer.headers().containsKey("odata-version") ? answer : answer.withHeader("odata-version",
                 request.header("odata-maxversion").equals("4.0") ? "4.0" : "4.01");
         if (isLast) {
             inputIgnored = true;
             outputFinished = true;
             connection.ignoreInput();
             connection.finishOutput();
-            return versioned.with("connection", "close").bytes();
+            return versioned.withHeader("connection", "close").encode();
         }
         runInOrder(() -> {
             byte[] nextAnswer = serving ? null : startNext();
@@ -273,7 +273,7 @@
             }
             finishIfAnswered();
         });
-        return versioned.bytes();
+        return versioned.encode();
     }
 
     private static String path(HttpMessage request) {
@@ -283,7 +283,7 @@
     /** Returns the service or metadata document if one is requested; null for requests that need an engine. */
     private HttpMessage findDocument(HttpMessage request) {
         String path = path(request);
-        if (!request.start()[2].equals("HTTP/1.0") && request.header("host").isEmpty()) {
+        if (!request.startLine()[2].equals("HTTP/1.0") && request.header("host").isEmpty()) {
             throw new ODataException(400, "the Host header is missing");
         }
         boolean isServiceDocument = path.isEmpty() || path.equals("/");
--- a/src/main/java/cairnline/transport/RespConnection.java
+++ b/src/main/java/cairnline/transport/RespConnection.java
@@ -105,7 +105,7 @@
 
     @Override
     public synchronized boolean isQuiescent() {
-        return !closed && !decoder.partial() && exchanges.values().stream().noneMatch(exchange -> exchange.written)
+        return !closed && !decoder.hasPartialInput() && exchanges.values().stream().noneMatch(exchange -> exchange.written)
                 && probes.values().stream().noneMatch(probe -> probe.written);
     }
 
@@ -216,13 +216,13 @@
             abandonedIds.put(id, Boolean.TRUE);
         }
         if (written) {
-            connection.send(Resp.words("undo", id));
+            connection.send(Resp.stringArray("undo", id));
         }
     }
 
     void setPriority(Attempt attempt, int priority) {
         if (isInFlight(attempt)) {
-            connection.send(Resp.words("bump", attempt.request().id(), Integer.toString(priority)));
+            connection.send(Resp.stringArray("bump", attempt.request().id(), Integer.toString(priority)));
         }
     }
 
@@ -244,7 +244,7 @@
         }
         boolean enqueued = connection.enqueueIfRoom(now -> {
             markWritten(probe, now);
-            return Resp.words("top", probeId);
+            return Resp.stringArray("top", probeId);
         });
         if (enqueued) {
             return true;
@@ -282,7 +282,7 @@
         decoder.feed(bytes, count);
         try {
             for (List<byte[]> parts = decoder.next(); parts != null; parts = decoder.next()) {
-                handleMessage(EngineMessage.of(parts));
+                handleMessage(EngineMessage.parse(parts));
             }
         } catch (ProtocolException e) {
             // Message boundaries are lost from here on; closing the connection ends the attempts in flight on it.
@@ -300,7 +300,7 @@
             probe = message.kind() == EngineMessage.Kind.PROBE ? probes.remove(message.id()) : null;
         }
         if (probe != null) {
-            probe.answer.accept(message.report());
+            probe.answer.accept(message.loadReport());
             return;
         }
         Exchange exchange;
@@ -316,14 +316,14 @@
             case FULL -> endAttempt(exchange, Attempt.Result.of(End.FULL));
             case ERROR -> endAttempt(exchange, Attempt.Result.of(End.ERROR));
             case STALE -> endAttempt(exchange, Attempt.Result.of(End.NOT_SENT));
-            case NOTE -> reportStatus(exchange.attempt, message);
+            case STATUS -> reportStatus(exchange.attempt, message);
             case PROBE -> throw new ProtocolException("probe answer received for a request");
         }
     }
 
     /** Handles page 0, and requests all other pages at once, so that they cost a single round trip. */
     private void handleFirstPage(Exchange exchange, EngineMessage message) {
-        if (!exchange.result.begin(message)) {
+        if (!exchange.result.start(message)) {
             return;
         }
         boolean isPaged = exchange.result.count() > 1;
@@ -332,18 +332,18 @@
             return;
         }
         if (isPaged) {
-            connection.send(exchange.result.requests(exchange.attempt.request().id()));
+            connection.send(exchange.result.pageRequests(exchange.attempt.request().id()));
         }
         storePage(exchange, 0, message.body());
     }
 
     /** Handles a further page; a duplicate of a page is ignored. */
     private void handlePage(Exchange exchange, EngineMessage message) {
-        if (!exchange.result.awaits(message.page())) {
+        if (!exchange.result.isMissing(message.pageNumber())) {
             return;
         }
         if (exchange.attempt.isWanted()) {
-            storePage(exchange, message.page(), message.body());
+            storePage(exchange, message.pageNumber(), message.body());
         } else {
             endEarly(exchange, Attempt.Result.of(End.OK));
         }
@@ -354,23 +354,23 @@
         result.put(page, rows);
         if (result.size() > limits.engines().resultBytes()) {
             endEarly(exchange, Attempt.Result.of(End.ERROR));
-        } else if (result.isWhole()) {
-            endAttempt(exchange, new Attempt.Result(End.OK, result.whole(), result.work(), result.memory()));
+        } else if (result.isComplete()) {
+            endAttempt(exchange, new Attempt.Result(End.OK, result.join(), result.work(), result.memory()));
         }
     }
 
     /** Ends an attempt whose remaining pages are not wanted; pages that still arrive are ignored. */
     private void endEarly(Exchange exchange, Attempt.Result result) {
         endAttempt(exchange, result);
-        connection.send(Resp.words("forget", exchange.attempt.request().id()));
+        connection.send(Resp.stringArray("forget", exchange.attempt.request().id()));
     }
 
     private void reportStatus(Attempt attempt, EngineMessage message) {
-        switch (message.note()) {
-            case "advance" -> dispatcher.statusReceived(attempt, NoteKind.PROGRESS, message.amount());
-            case "disk" -> dispatcher.statusReceived(attempt, NoteKind.SPILL, message.amount());
+        switch (message.statusName()) {
+            case "advance" -> dispatcher.statusReceived(attempt, NoteKind.PROGRESS, message.statusValue());
+            case "disk" -> dispatcher.statusReceived(attempt, NoteKind.SPILL, message.statusValue());
             case "stall" -> dispatcher.statusReceived(attempt,
-                    message.amount() >= 2 ? NoteKind.WAITS_LOAD : NoteKind.WAITS_MEMORY, message.amount());
+                    message.statusValue() >= 2 ? NoteKind.WAITS_LOAD : NoteKind.WAITS_MEMORY, message.statusValue());
             default -> { }
         }
     }
@@ -381,7 +381,7 @@
             if (!exchanges.remove(id, exchange)) {
                 return;
             }
-            if (result.status() != End.OK || !exchange.result.isWhole()) {
+            if (result.status() != End.OK || !exchange.result.isComplete()) {
                 // The next attempt of the request has the same id, and must not receive an answer to this one that still arrives.
                 abandonedIds.put(id, Boolean.TRUE);
             }
@@ -392,7 +392,7 @@
     @Override
     public long timeoutAt(long lastReadAt) {
         long idleOrSilence = Math.min(limits.engines().idleTimeout(), limits.engines().silenceTimeout());
-        return lastReadAt + (decoder.partial() ? limits.engines().partialAnswerTimeout() : idleOrSilence);
+        return lastReadAt + (decoder.hasPartialInput() ? limits.engines().partialAnswerTimeout() : idleOrSilence);
     }
 
     /**
@@ -403,10 +403,10 @@
     public synchronized boolean onTimeout(long now) {
         long quietTime = now - Math.max(awaitingSince, lastReceivedAt);
         boolean idle = exchanges.isEmpty() && probes.isEmpty();
-        if (decoder.partial() || !idle && quietTime >= limits.engines().silenceTimeout()) {
+        if (decoder.hasPartialInput() || !idle && quietTime >= limits.engines().silenceTimeout()) {
             closeEvidence = Evidence.NO_ANSWER;
         }
-        closed |= decoder.partial() || quietTime >= (idle ? limits.engines().idleTimeout() : limits.engines().silenceTimeout());
+        closed |= decoder.hasPartialInput() || quietTime >= (idle ? limits.engines().idleTimeout() : limits.engines().silenceTimeout());
         return !closed;
     }
 
--- a/src/main/java/cairnline/transport/SocketFront.java
+++ b/src/main/java/cairnline/transport/SocketFront.java
@@ -1,6 +1,6 @@
 package cairnline.transport;
 
-import cairnline.logs.Events;
+import cairnline.logs.EventSink;
 import cairnline.routing.Clock;
 import cairnline.routing.Dispatcher;
 import cairnline.routing.Limits;
@@ -14,11 +14,11 @@
     private final Listener listener;
     private final Dispatcher dispatcher;
     private final Limits limits;
-    private final Events log;
+    private final EventSink log;
     private final AtomicLong heldBytes = new AtomicLong();
     private volatile boolean stopping;
 
-    SocketFront(Listener listener, Dispatcher dispatcher, Limits limits, Events log) {
+    SocketFront(Listener listener, Dispatcher dispatcher, Limits limits, EventSink log) {
         this.listener = listener;
         this.dispatcher = dispatcher;
         this.limits = limits;
@@ -86,7 +86,7 @@
         return loop().clock();
     }
 
-    Events log() {
+    EventSink log() {
         return log;
     }
 }
--- a/src/main/java/cairnline/transport/StandInEngine.java
+++ b/src/main/java/cairnline/transport/StandInEngine.java
@@ -75,7 +75,7 @@
                     HttpMessage answer = request.method().equals("GET")
                             ? HttpMessage.response(200, ODataModel.JSON, FIXED_ANSWER)
                             : HttpMessage.response(204, Map.of(), new byte[0]);
-                    connection.send(answer.bytes());
+                    connection.send(answer.encode());
                 }
             } catch (ProtocolException e) {
                 connection.close();
--- a/src/test/java/cairnline/program/FrameClient.java
+++ b/src/test/java/cairnline/program/FrameClient.java
@@ -93,7 +93,7 @@
     }
 
     void cancel(Call call) throws IOException {
-        write(ClientFrames.frame(ClientFrames.WITHDRAWN, call.stream, new byte[0]));
+        write(ClientFrames.frame(ClientFrames.CANCEL_REQUEST, call.stream, new byte[0]));
         call.cancelledAt = System.nanoTime();
     }
 
@@ -167,7 +167,7 @@
         heard |= frame.type() != ClientFrames.ANSWER || frame.stream() > 0;
         if (call != null) {
             call.answers++;
-            call.rows = new String(ClientFrames.content(tail(frame.payload())).body(), StandardCharsets.UTF_8);
+            call.rows = new String(ClientFrames.parseContent(tail(frame.payload())).body(), StandardCharsets.UTF_8);
             call.code.complete((int) frame.payload()[0]);
         }
     }
--- a/src/test/java/cairnline/program/PlatformWire.java
+++ b/src/test/java/cairnline/program/PlatformWire.java
@@ -3,7 +3,7 @@
 import cairnline.protocol.ClientFrames;
 import cairnline.protocol.Resp;
 import cairnline.pools.ConnectionBudget;
-import cairnline.logs.Events;
+import cairnline.logs.EventSink;
 import cairnline.routing.Clock;
 import cairnline.routing.Dispatcher;
 import cairnline.routing.EngineLink;
@@ -47,14 +47,14 @@
     @Override
     public EngineLink link(ListedEngine engine, Dispatcher core, Configuration configuration, Clock clock) {
         return new RespLink(engine.id(), Configuration.address("dial", engine.address()), core, configuration.limits(),
-                loop.get(configuration, clock), connections, Events.NONE);
+                loop.get(configuration, clock), connections, EventSink.NONE);
     }
 
     @Override
     public int start(Dispatcher core, Configuration configuration, Clock clock) throws IOException {
         Listener listener = new Listener(configuration.listen(), Math.min(mostClients, configuration.limits().clients().connections()),
-                configuration.limits(), loop.get(configuration, clock), Events.NONE);
-        front = new ClientFront(listener, core, configuration.classes(), configuration.limits(), Events.NONE);
+                configuration.limits(), loop.get(configuration, clock), EventSink.NONE);
+        front = new ClientFront(listener, core, configuration.classes(), configuration.limits(), EventSink.NONE);
         front.start();
         return listener.port();
     }
@@ -118,20 +118,20 @@
     @Override
     public byte[] reply(String name, String outcome, String row) {
         return switch (outcome) {
-            case "ok" -> Resp.words(id(name), "ACK", "parts=1,work=20.0,peak=8", row + "\t\t\n");
-            case "ready" -> Resp.words(name, "READY", "report=inflight:0;util:0.0", "");
-            case "full" -> Resp.words(id(name), "AGAIN", "-", "");
+            case "ok" -> Resp.stringArray(id(name), "ACK", "parts=1,work=20.0,peak=8", row + "\t\t\n");
+            case "ready" -> Resp.stringArray(name, "READY", "report=inflight:0;util:0.0", "");
+            case "full" -> Resp.stringArray(id(name), "AGAIN", "-", "");
             case "noise" -> (row + "\r\n").getBytes(StandardCharsets.UTF_8);
-            case "half" -> Arrays.copyOf(Resp.words(id(name), "ACK", "parts=1", row + "\t\t\n"), 30);
-            case "error" -> Resp.words(id(name), "EIO", "-", "");
+            case "half" -> Arrays.copyOf(Resp.stringArray(id(name), "ACK", "parts=1", row + "\t\t\n"), 30);
+            case "error" -> Resp.stringArray(id(name), "EIO", "-", "");
             default -> page(name, outcome.split(":"), row);
         };
     }
 
     /** {@code pages:3} answers well with page 0 of 3, {@code page:1} is a further page. */
     private static byte[] page(String name, String[] which, String row) {
-        return which[0].equals("pages") ? Resp.words(id(name), "ACK", "parts=" + which[1], row + "\t\t\n")
-                : Resp.words(id(name), "BLOCK", "part_no=" + which[1], row + "\t\t\n");
+        return which[0].equals("pages") ? Resp.stringArray(id(name), "ACK", "parts=" + which[1], row + "\t\t\n")
+                : Resp.stringArray(id(name), "BLOCK", "part_no=" + which[1], row + "\t\t\n");
     }
 
     @Override
@@ -146,7 +146,7 @@
                     String body = new String(frame.payload(), 2, frame.payload().length - 2, StandardCharsets.UTF_8);
                     heard.add(new Heard(streams.getOrDefault(frame.stream(), "-"),
                             code == 1 ? "served" : code == 0 ? "refused" : "failed", body.replace("\t", "").strip().replace('\n', '|')));
-                } else if (frame.type() == ClientFrames.READY_ANSWER) {
+                } else if (frame.type() == ClientFrames.READINESS_ANSWER) {
                     heard.add(new Heard("-", "ready" + frame.payload()[0], "-"));
                 }
             }
--- a/src/test/java/cairnline/protocol/RespTest.java
+++ b/src/test/java/cairnline/protocol/RespTest.java
@@ -18,8 +18,8 @@
     }
 
     @Test
-    void anArrayIsReadHoweverItsBytesAreCut() {
-        byte[] bytes = Resp.words("id", "ACK", "parts=2", "a\r\nb");
+    void readsArrayWhoseBytesArriveOneByOne() {
+        byte[] bytes = Resp.stringArray("id", "ACK", "parts=2", "a\r\nb");
         Resp resp = new Resp(8, 100);
         for (int i = 0; i < bytes.length - 1; i++) {
             resp.feed(new byte[] {bytes[i]}, 1);
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void whatIsNoArrayOrTooLargeIsRejected() {
+    void rejectsMalformedAndOversizedArrays() {
         for (String text : new String[] {"+OK\r\n", "*9\r\n", "*1\r\n$101\r\n", "*1\r\n$x\r\n", "*1\r\n$1\r\nabc",
             "*12345678901234567890"}) {
             Resp resp = new Resp(8, 100);
@@ -41,28 +41,28 @@
     }
 
     @Test
-    void anAnswersFieldsAreRead() {
-        EngineMessage message = EngineMessage.of(List.of("t".getBytes(StandardCharsets.UTF_8),
+    void readsFieldsAndLoadReport() {
+        EngineMessage message = EngineMessage.parse(List.of("t".getBytes(StandardCharsets.UTF_8),
                 "READY".getBytes(StandardCharsets.UTF_8),
                 "report=inflight:7;util:0.61".getBytes(StandardCharsets.UTF_8)));
-        assertEquals(Map.of("inflight", 7.0, "util", 0.61), message.report());
+        assertEquals(Map.of("inflight", 7.0, "util", 0.61), message.loadReport());
         assertThrows(ProtocolException.class, () -> Resp.fields("novalue"));
         assertEquals("-", Resp.fields(Map.of()));
     }
 
     @Test
-    void whatIsNoAnswerIsRejectedThoughItsLengthsFit() {
+    void rejectsWellFormedArrayThatIsNotAValidMessage() {
         String[][] bad = {{"1", "ACK", "parts=1"}, {"1", "NOISE", "-", ""}, {"1"}, {"1", "ACK", "parts=1,work", ""}};
-        for (String[] words : bad) {
-            assertThrows(ProtocolException.class, () -> message(words), String.join(" ", words));
+        for (String[] parts : bad) {
+            assertThrows(ProtocolException.class, () -> message(parts), String.join(" ", parts));
         }
         for (String number : new String[] {"many", "NaN", "-1", "1e300", "Infinity", ""}) {
-            assertThrows(ProtocolException.class, () -> message("1", "ACK", "parts=" + number, "").pages(), number);
+            assertThrows(ProtocolException.class, () -> message("1", "ACK", "parts=" + number, "").pageCount(), number);
         }
     }
 
     @Test
-    void rowsAreWholeAndHaveThreeColumns() {
+    void acceptsOnlyCompleteRowsOfThreeColumns() {
         for (String rows : new String[] {"", "a\tb\tc\n", "\t\t\n\t\t\n"}) {
             assertTrue(EngineMessage.isRows(rows.getBytes(StandardCharsets.UTF_8)), rows);
         }
@@ -71,15 +71,15 @@
         }
     }
 
-    private static EngineMessage message(String... words) {
+    private static EngineMessage message(String... parts) {
         Resp resp = new Resp(4, 100);
-        byte[] bytes = Resp.words(words);
+        byte[] bytes = Resp.stringArray(parts);
         resp.feed(bytes, bytes.length);
-        return EngineMessage.of(resp.next());
+        return EngineMessage.parse(resp.next());
     }
 
     @Test
-    void theSchemaGroupIsFoundWhereStatementsHideIt() {
+    void findsSchemaGroupBesideStringsCommentsAndQuotedNames() {
         Map<String, Integer> groups = Map.of(
                 "select * from sales_17.orders", 17,
                 "insert into staging.orders_5 select * from sales_3.orders", 3,
