--- a/src/main/java/cairnline/program/MeasureDiscovery.java
+++ b/src/main/java/cairnline/program/MeasureDiscovery.java
@@ -132,7 +132,7 @@
     }
 
     private static StandInRespEngine engine(boolean cold) throws IOException {
-        return new StandInRespEngine(0, StandInRespEngine.Manner.ENGINE, SHAPE, cold, Mix.costs(1));
+        return new StandInRespEngine(0, StandInRespEngine.Manner.ENGINE, SHAPE, cold, SyntheticWorkload.costs(1));
     }
 
     /** On one core that another process shares, so that half of it is left. */
@@ -148,7 +148,7 @@
                 long start = System.nanoTime();
                 manager.start("taskset", "-c", "0");
                 Ready.await(manager.port(), LIMIT_S);
-                Mix mix = new Mix(manager.port(), i, 1);
+                SyntheticWorkload mix = new SyntheticWorkload(manager.port(), i, 1);
                 mix.send(20, 50);
                 mix.await(LIMIT_S);
                 (shared ? times : whole).add((mix.firstServed() - start) / 1e9);
@@ -202,7 +202,7 @@
 
     private double load(String name, StandInFeed feed, List<StandInRespEngine> kept, int perSecond) throws Exception {
         List<ManagerProcess> managers = new ArrayList<>();
-        List<Mix> mixes = new ArrayList<>();
+        List<SyntheticWorkload> mixes = new ArrayList<>();
         List<Thread> threads = new ArrayList<>();
         for (int self = 0; self < MANAGERS; self++) {
             managers.add(manager(name, self, feed.address(), kept));
@@ -210,7 +210,7 @@
         }
         for (ManagerProcess manager : managers) {
             Ready.await(manager.port(), LIMIT_S);
-            Mix mix = new Mix(manager.port(), 100 + mixes.size(), 1);
+            SyntheticWorkload mix = new SyntheticWorkload(manager.port(), 100 + mixes.size(), 1);
             mixes.add(mix);
             threads.add(new Thread(() -> {
                 try {
@@ -225,7 +225,7 @@
         for (Thread each : threads) {
             each.join();
         }
-        double worth = mixes.stream().mapToDouble(Mix::worth).average().orElse(0);
+        double worth = mixes.stream().mapToDouble(SyntheticWorkload::worth).average().orElse(0);
         for (int i = 0; i < MANAGERS; i++) {
             mixes.get(i).close();
             managers.get(i).close();
--- a/src/main/java/cairnline/program/Mix.java
+++ b/src/main/java/cairnline/program/SyntheticWorkload.java
@@ -14,7 +14,7 @@
  * A mix of the platform's three classes, sent at a steady rate whatever becomes of it, and what became of it by class.
  * Shares, worths and wanted times are those of the deployment's brief.
  */
-final class Mix {
+final class SyntheticWorkload {
     private static final int OPEN_PER_CONNECTION = 32;
 
     private record Kind(String type, double share, double worth, long ttlMs, double workMs, long aimMs) { }
@@ -41,7 +41,7 @@
     private int calls;
 
     /** For the manager at this port; {@code scale} is how large each query is against the brief's. */
-    Mix(int port, long seed, double scale) {
+    SyntheticWorkload(int port, long seed, double scale) {
         this.port = port;
         this.random = new SplittableRandom(seed);
         this.scale = scale;
--- a/src/main/java/cairnline/program/TryCommand.java
+++ b/src/main/java/cairnline/program/TryCommand.java
@@ -41,7 +41,7 @@
             System.out.println("control feed at " + feed.address() + ", engines at " + one.address() + " and "
                     + two.address() + ", workload manager at 127.0.0.1:" + manager.port());
             Ready.await(manager.port(), UP_S);
-            Mix mix = new Mix(manager.port(), 1, SCALE);
+            SyntheticWorkload mix = new SyntheticWorkload(manager.port(), 1, SCALE);
             mix.send(requests, rate);
             mix.await(ANSWERS_S);
             System.out.print(mix.report());
@@ -54,7 +54,7 @@
     }
 
     private static StandInRespEngine engine() throws IOException {
-        return new StandInRespEngine(0, StandInRespEngine.Manner.ENGINE, ENGINE, false, Mix.costs(SCALE));
+        return new StandInRespEngine(0, StandInRespEngine.Manner.ENGINE, ENGINE, false, SyntheticWorkload.costs(SCALE));
     }
 
     private static StandInFeed.Host host(String id, StandInRespEngine engine) {
--- a/src/test/java/cairnline/program/DiscoveryTest.java
+++ b/src/test/java/cairnline/program/DiscoveryTest.java
@@ -35,7 +35,7 @@
     private static final long LIMIT_S = 20;
     private static final long SECOND = 1_000_000;
     private static final long YEAR = 365L * 86_400 * SECOND;
-    private static final Map<String, StandInRespEngine.Cost> COSTS = Mix.costs(0.1);
+    private static final Map<String, StandInRespEngine.Cost> COSTS = SyntheticWorkload.costs(0.1);
     /** Late to warm up: the worst that the rules leave open. */
     private static final EngineModel.Shape SHAPE = new EngineModel.Shape(16, 0.31, 15 * SECOND, true, 4, 3 * SECOND / 2);
 
@@ -71,7 +71,7 @@
 
     /** One whose queries are as large as the settings' aims suppose. */
     private StandInRespEngine large(int port, boolean cold) throws IOException {
-        return open(new StandInRespEngine(port, Manner.ENGINE, SHAPE, cold, Mix.costs(1)));
+        return open(new StandInRespEngine(port, Manner.ENGINE, SHAPE, cold, SyntheticWorkload.costs(1)));
     }
 
     private StandInRespEngine engine() throws IOException {
@@ -280,7 +280,7 @@
     @Test
     void threeManagersTogetherDoNotPushOneColdEngineOver() throws Exception {
         StandInRespEngine cold = large(0, true);
-        List<Mix> mixes = new ArrayList<>();
+        List<SyntheticWorkload> mixes = new ArrayList<>();
         for (int self = 0; self < 3; self++) {
             manager(self, 3, "{\"n\": 0, \"events\": []}", kept("e1", cold));
         }
@@ -288,7 +288,7 @@
         for (AutoCloseable each : opened) {
             if (each instanceof ManagerProcess manager) {
                 Ready.await(manager.port(), LIMIT_S);
-                Mix mix = new Mix(manager.port(), manager.port(), 1);
+                SyntheticWorkload mix = new SyntheticWorkload(manager.port(), manager.port(), 1);
                 mixes.add(mix);
                 loads.add(new Thread(() -> {
                     try {
@@ -306,7 +306,7 @@
             load.join();
         }
         assertTrue(cold.highest() > 0.3 && cold.highest() < SHAPE.tipMultiple(), "highest " + cold.highest());
-        for (Mix mix : mixes) {
+        for (SyntheticWorkload mix : mixes) {
             mix.close();
         }
     }
@@ -317,7 +317,7 @@
         StandInRespEngine first = large(0, false);
         ManagerProcess manager = manager(kept("e1", first));
         Ready.await(manager.port(), LIMIT_S);
-        Mix mix = new Mix(manager.port(), 5, 1);
+        SyntheticWorkload mix = new SyntheticWorkload(manager.port(), 5, 1);
         mix.send(50, 50);
         first.close();
         StandInRespEngine second = large(first.port(), true);
