--- a/src/main/java/cairnline/program/MeasureDiscovery.java
+++ b/src/main/java/cairnline/program/MeasureDiscovery.java
@@ -147,7 +147,7 @@
                  ManagerProcess manager = manager("first" + i, 0, feed.address(), List.of(engine))) {
                 long start = System.nanoTime();
                 manager.start("taskset", "-c", "0");
-                Ready.await(manager.port(), LIMIT_S);
+                ReadinessCheck.await(manager.port(), LIMIT_S);
                 SyntheticWorkload mix = new SyntheticWorkload(manager.port(), i, 1);
                 mix.send(20, 50);
                 mix.await(LIMIT_S);
@@ -209,7 +209,7 @@
             managers.get(self).start();
         }
         for (ManagerProcess manager : managers) {
-            Ready.await(manager.port(), LIMIT_S);
+            ReadinessCheck.await(manager.port(), LIMIT_S);
             SyntheticWorkload mix = new SyntheticWorkload(manager.port(), 100 + mixes.size(), 1);
             mixes.add(mix);
             threads.add(new Thread(() -> {
--- a/src/main/java/cairnline/program/Ready.java
+++ b/src/main/java/cairnline/program/ReadinessCheck.java
@@ -8,11 +8,11 @@
 import java.util.concurrent.TimeUnit;
 
 /** Asks a workload manager whether it is ready, as the platform's front does. */
-final class Ready {
+final class ReadinessCheck {
     private static final int PAUSE_MS = 10;
     private static final int HEAD = 9;
 
-    private Ready() { }
+    private ReadinessCheck() { }
 
     /** Returns once it is; fails if it is not by then. */
     static void await(int port, long seconds) throws IOException, InterruptedException {
--- a/src/main/java/cairnline/program/TryCommand.java
+++ b/src/main/java/cairnline/program/TryCommand.java
@@ -40,7 +40,7 @@
             manager.start();
             System.out.println("control feed at " + feed.address() + ", engines at " + one.address() + " and "
                     + two.address() + ", workload manager at 127.0.0.1:" + manager.port());
-            Ready.await(manager.port(), UP_S);
+            ReadinessCheck.await(manager.port(), UP_S);
             SyntheticWorkload mix = new SyntheticWorkload(manager.port(), 1, SCALE);
             mix.send(requests, rate);
             mix.await(ANSWERS_S);
--- a/src/test/java/cairnline/program/CrowdTest.java
+++ b/src/test/java/cairnline/program/CrowdTest.java
@@ -36,7 +36,7 @@
                         "{\"n\": 0, \"events\": []}", SOCKETS)) {
             feed.tell(true, hosts(fleet));
             manager.start();
-            Ready.await(manager.port(), LIMIT_S);
+            ReadinessCheck.await(manager.port(), LIMIT_S);
             try (FrameClient client = new FrameClient(manager.port())) {
                 serve(client);
                 long threads = threads(manager);
--- a/src/test/java/cairnline/program/DiscoveryTest.java
+++ b/src/test/java/cairnline/program/DiscoveryTest.java
@@ -119,7 +119,7 @@
     }
 
     private ToyClient client(ManagerProcess manager) throws IOException, InterruptedException {
-        Ready.await(manager.port(), LIMIT_S);
+        ReadinessCheck.await(manager.port(), LIMIT_S);
         return open(new ToyClient(manager.port(), answers::add));
     }
 
@@ -287,7 +287,7 @@
         List<Thread> loads = new ArrayList<>();
         for (AutoCloseable each : opened) {
             if (each instanceof ManagerProcess manager) {
-                Ready.await(manager.port(), LIMIT_S);
+                ReadinessCheck.await(manager.port(), LIMIT_S);
                 SyntheticWorkload mix = new SyntheticWorkload(manager.port(), manager.port(), 1);
                 mixes.add(mix);
                 loads.add(new Thread(() -> {
@@ -316,7 +316,7 @@
     void anEngineThatReturnsColdUnnoticedByTheFeedIsSparedAnew() throws Exception {
         StandInRespEngine first = large(0, false);
         ManagerProcess manager = manager(kept("e1", first));
-        Ready.await(manager.port(), LIMIT_S);
+        ReadinessCheck.await(manager.port(), LIMIT_S);
         SyntheticWorkload mix = new SyntheticWorkload(manager.port(), 5, 1);
         mix.send(50, 50);
         first.close();
--- a/src/test/java/cairnline/program/FleetSizeTest.java
+++ b/src/test/java/cairnline/program/FleetSizeTest.java
@@ -43,7 +43,7 @@
                         "{\"n\": 0, \"events\": []}", SOCKETS)) {
             feed.tell(true, hosts(fleet, 0, ENGINES, "in_service"));
             manager.start("sh", "-c", "ulimit -n " + SOCKETS + "; exec \"$@\"", "sh");
-            Ready.await(manager.port(), LIMIT_S);
+            ReadinessCheck.await(manager.port(), LIMIT_S);
             try (ToyClient client = new ToyClient(manager.port(), answers::add)) {
                 serve(client, 300);
                 int threads = threads(manager);
@@ -87,7 +87,7 @@
             try (ManagerProcess manager = new ManagerProcess(folder, 0, 120, feed.address(), null,
                     "{\"n\": 2001, \"events\": [" + events + "]}", SOCKETS)) {
                 manager.start();
-                Ready.await(manager.port(), LIMIT_S);
+                ReadinessCheck.await(manager.port(), LIMIT_S);
                 try (ToyClient client = new ToyClient(manager.port(), answers::add)) {
                     serve(client, BATCH);
                 }
--- a/src/test/java/cairnline/program/MemoryTest.java
+++ b/src/test/java/cairnline/program/MemoryTest.java
@@ -88,7 +88,7 @@
         feed.tell(true, List.of(new StandInFeed.Host("s-1", "127.0.0.1:" + engine.server.getLocalPort(), "in_service", 0)));
         ManagerProcess manager = new ManagerProcess(folder, 0, 1, feed.address(), null);
         manager.start();
-        Ready.await(manager.port(), LIMIT_S);
+        ReadinessCheck.await(manager.port(), LIMIT_S);
         return manager;
     }
 
--- a/src/test/java/cairnline/program/SoakRun.java
+++ b/src/test/java/cairnline/program/SoakRun.java
@@ -84,7 +84,7 @@
             manager.start(seed % 2 == 0 ? FaultShim.prefix(seed + i) : new String[0]);
         }
         for (ManagerProcess manager : managers) {
-            Ready.await(manager.port(), READY_S);
+            ReadinessCheck.await(manager.port(), READY_S);
             for (int i = 0; i < CLIENTS; i++) {
                 SoakClient client = new SoakClient(random.nextLong(), manager.port(), clients.size());
                 clients.add(client);
--- a/src/test/java/cairnline/program/TerminationTest.java
+++ b/src/test/java/cairnline/program/TerminationTest.java
@@ -42,7 +42,7 @@
         ManagerProcess manager = new ManagerProcess(folder, 0, 1, feed.address(), null);
         manager.configure(change);
         manager.start();
-        Ready.await(manager.port(), LIMIT_S);
+        ReadinessCheck.await(manager.port(), LIMIT_S);
         return manager;
     }
 
