--- a/src/main/java/cairnline/program/Server.java
+++ b/src/main/java/cairnline/program/Server.java
@@ -93,7 +93,7 @@
 
     /** Serves until the process is told to end. */
     void run(ReloadSignal reloadSignal) throws InterruptedException {
-        Thread.setDefaultUncaughtExceptionHandler(new Faults(clock, System.err, Runtime.getRuntime()::halt));
+        Thread.setDefaultUncaughtExceptionHandler(new UncaughtErrorHandler(clock, System.err, Runtime.getRuntime()::halt));
         // A shutdown hook, since SIGTERM must end in exit code 0 with all that was taken answered.
         Runtime.getRuntime().addShutdownHook(new Thread(this::stop, "stop"));
         log.start();
--- a/src/main/java/cairnline/program/Faults.java
+++ b/src/main/java/cairnline/program/UncaughtErrorHandler.java
@@ -11,7 +11,7 @@
  * without serving ends the process: the end of a thread that it can't do without, an error of the virtual machine, or
  * one shortage of memory after another.
  */
-final class Faults implements Thread.UncaughtExceptionHandler {
+final class UncaughtErrorHandler implements Thread.UncaughtExceptionHandler {
     /** Exit code of a process that can't go on. */
     static final int CODE = 70;
     /** So many shortages of memory within this time, in microseconds, are no passing ones. */
@@ -24,7 +24,7 @@
     private final ArrayDeque<Long> shortages = new ArrayDeque<>();
 
     /** {@code end} ends the process with a code. */
-    Faults(Clock clock, PrintStream to, IntConsumer end) {
+    UncaughtErrorHandler(Clock clock, PrintStream to, IntConsumer end) {
         this.clock = clock;
         this.to = to;
         this.end = end;
--- a/src/test/java/cairnline/program/FaultsTest.java
+++ b/src/test/java/cairnline/program/FaultsTest.java
@@ -14,7 +14,7 @@
 class FaultsTest {
     private final ByteArrayOutputStream written = new ByteArrayOutputStream();
     private final List<Integer> codes = new ArrayList<>();
-    private final Faults faults = new Faults(new Clock(), new PrintStream(written), codes::add);
+    private final UncaughtErrorHandler faults = new UncaughtErrorHandler(new Clock(), new PrintStream(written), codes::add);
 
     private void ends(Runnable task) throws InterruptedException {
         Thread thread = new Thread(task, "some");
@@ -38,7 +38,7 @@
             throw new IllegalStateException("odd");
         }));
         assertTrue(written.toString().contains("java.lang.IllegalStateException: odd"), written.toString());
-        assertEquals(List.of(Faults.CODE), codes);
+        assertEquals(List.of(UncaughtErrorHandler.CODE), codes);
     }
 
     @Test
@@ -46,7 +46,7 @@
         ends(() -> {
             throw new InternalError("broken");
         });
-        assertEquals(List.of(Faults.CODE), codes);
+        assertEquals(List.of(UncaughtErrorHandler.CODE), codes);
     }
 
     @Test
@@ -56,6 +56,6 @@
         }
         assertEquals(List.of(), codes);
         faults.uncaughtException(Thread.currentThread(), new OutOfMemoryError("Java heap space"));
-        assertEquals(List.of(Faults.CODE), codes);
+        assertEquals(List.of(UncaughtErrorHandler.CODE), codes);
     }
 }
