--- a/src/test/java/cairnline/program/FaultsTest.java
+++ b/src/test/java/cairnline/program/UncaughtErrorHandlerTest.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class FaultsTest {
+class UncaughtErrorHandlerTest {
     private final ByteArrayOutputStream written = new ByteArrayOutputStream();
     private final List<Integer> codes = new ArrayList<>();
     private final UncaughtErrorHandler faults = new UncaughtErrorHandler(new Clock(), new PrintStream(written), codes::add);
