--- a/src/main/java/cairnline/program/SyntheticWorkload.java
+++ b/src/main/java/cairnline/program/SyntheticWorkload.java
@@ -1,7 +1,7 @@
 package cairnline.program;
 
 import cairnline.standin.StandInRespEngine;
-import cairnline.standin.ToyClient;
+import cairnline.standin.StandInClient;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
@@ -36,7 +36,7 @@
     private final SplittableRandom random;
     private final double scale;
     private final Map<String, Tally> tallies = new TreeMap<>();
-    private final List<ToyClient> clients = new ArrayList<>();
+    private final List<StandInClient> clients = new ArrayList<>();
     private long firstServed;
     private int calls;
 
@@ -67,9 +67,9 @@
             tally.asked++;
             tally.worthAsked += kind.worth;
         }
-        ToyClient free = clients.stream().filter(c -> c.open() < OPEN_PER_CONNECTION).findFirst().orElse(null);
+        StandInClient free = clients.stream().filter(c -> c.open() < OPEN_PER_CONNECTION).findFirst().orElse(null);
         if (free == null) {
-            free = new ToyClient(port, answer -> take(answer));
+            free = new StandInClient(port, answer -> take(answer));
             clients.add(free);
         }
         String call = String.format("%08x%08x", random.nextInt(), calls++);
@@ -77,7 +77,7 @@
         free.ask(kind.type, call, key, kind.ttlMs, kind.workMs * scale);
     }
 
-    private synchronized void take(ToyClient.Answer answer) {
+    private synchronized void take(StandInClient.Answer answer) {
         Kind kind = KINDS.stream().filter(k -> k.type.equals(answer.type())).findFirst().orElseThrow();
         Tally tally = tallies.get(answer.type());
         if (answer.code() == 1) {
@@ -125,7 +125,7 @@
     }
 
     void close() throws IOException {
-        for (ToyClient client : clients) {
+        for (StandInClient client : clients) {
             client.close();
         }
     }
--- a/src/main/java/cairnline/standin/ToyClient.java
+++ b/src/main/java/cairnline/standin/StandInClient.java
@@ -13,7 +13,7 @@
 import java.util.Map;
 
 /** A client of the platform's wire: one connection, any number of requests out, each answer told as it comes. */
-public final class ToyClient implements AutoCloseable {
+public final class StandInClient implements AutoCloseable {
     /** What became of a request. */
     public record Answer(String type, int code, long micros) { }
 
@@ -33,7 +33,7 @@
     private long stream;
 
     /** Connects. */
-    public ToyClient(int port, Listener listener) throws IOException {
+    public StandInClient(int port, Listener listener) throws IOException {
         socket = new Socket(InetAddress.getByName("127.0.0.1"), port);
         socket.setTcpNoDelay(true);
         out = socket.getOutputStream();
--- a/src/test/java/cairnline/program/DiscoveryTest.java
+++ b/src/test/java/cairnline/program/DiscoveryTest.java
@@ -11,7 +11,7 @@
 import cairnline.standin.StandInFeed;
 import cairnline.standin.StandInRespEngine;
 import cairnline.standin.StandInRespEngine.Manner;
-import cairnline.standin.ToyClient;
+import cairnline.standin.StandInClient;
 import cairnline.store.Snapshot;
 import cairnline.store.SnapshotCodec;
 import java.io.IOException;
@@ -43,7 +43,7 @@
     Path folder;
 
     private final List<AutoCloseable> opened = new ArrayList<>();
-    private final LinkedBlockingQueue<ToyClient.Answer> answers = new LinkedBlockingQueue<>();
+    private final LinkedBlockingQueue<StandInClient.Answer> answers = new LinkedBlockingQueue<>();
     private StandInFeed feed;
     private int calls;
 
@@ -118,19 +118,19 @@
         }
     }
 
-    private ToyClient client(ManagerProcess manager) throws IOException, InterruptedException {
+    private StandInClient client(ManagerProcess manager) throws IOException, InterruptedException {
         ReadinessCheck.await(manager.port(), LIMIT_S);
-        return open(new ToyClient(manager.port(), answers::add));
+        return open(new StandInClient(manager.port(), answers::add));
     }
 
-    private ToyClient.Answer ask(ToyClient client, String type) throws Exception {
+    private StandInClient.Answer ask(StandInClient client, String type) throws Exception {
         client.ask(type, String.format("%016x", ++calls), type.equals("load") ? "00000000000000aa" : null, 7_000, 20);
-        ToyClient.Answer answer = answers.poll(LIMIT_S, TimeUnit.SECONDS);
+        StandInClient.Answer answer = answers.poll(LIMIT_S, TimeUnit.SECONDS);
         assertTrue(answer != null, "no answer");
         return answer;
     }
 
-    private void served(ToyClient client, int count) throws Exception {
+    private void served(StandInClient client, int count) throws Exception {
         for (int i = 0; i < count; i++) {
             assertEquals(1, ask(client, "lookup").code(), "request " + i);
         }
@@ -164,7 +164,7 @@
         StandInRespEngine drained = engine();
         StandInRespEngine ended = engine();
         StandInRespEngine stays = engine();
-        ToyClient client = client(manager(kept("e1", drained), kept("e2", ended), kept("e3", stays)));
+        StandInClient client = client(manager(kept("e1", drained), kept("e2", ended), kept("e3", stays)));
         until(() -> {
             try {
                 served(client, 1);
@@ -193,7 +193,7 @@
     void whatWasDrainingWhenTheListWasKeptGetsNothing() throws Exception {
         StandInRespEngine leaving = engine();
         StandInRespEngine stays = engine();
-        ToyClient client = client(manager(kept("e1", leaving.address(), State.LEAVING, YEAR), kept("e2", stays)));
+        StandInClient client = client(manager(kept("e1", leaving.address(), State.LEAVING, YEAR), kept("e2", stays)));
         served(client, 20);
         assertEquals(List.of(), leaving.received());
     }
@@ -207,7 +207,7 @@
         StandInRespEngine real = engine();
         ManagerProcess manager = manager(kept("gone", gone), kept("silent", silent), kept("foreign", foreign),
                 kept("real", real));
-        ToyClient client = client(manager);
+        StandInClient client = client(manager);
         served(client, 30);
         assertEquals(30, real.received().size());
         until(() -> silent.connects() > 0 && foreign.connects() > 0);
@@ -220,7 +220,7 @@
     void anAddressThatNowBelongsToANewEngineServesUnderItsNewName() throws Exception {
         StandInRespEngine next = engine(Manner.ENGINE, true);
         ManagerProcess manager = manager(kept("old", next));
-        ToyClient client = client(manager);
+        StandInClient client = client(manager);
         served(client, 5);
         feed.tell(true, List.of(new StandInFeed.Host("new", next.address(), "in_service", System.currentTimeMillis())));
         feed.show();
@@ -243,9 +243,9 @@
     void withNothingToBeReachedRequestsAreRefusedAtOnce() throws Exception {
         StandInRespEngine gone = engine();
         gone.close();
-        ToyClient client = client(manager(kept("e1", gone)));
+        StandInClient client = client(manager(kept("e1", gone)));
         for (int i = 0; i < 5; i++) {
-            ToyClient.Answer answer = ask(client, "report");
+            StandInClient.Answer answer = ask(client, "report");
             assertEquals(0, answer.code());
             assertTrue(answer.micros() < 3_500_000, "kept back for " + answer.micros() + " us of 7 s");
         }
--- a/src/test/java/cairnline/program/FleetSizeTest.java
+++ b/src/test/java/cairnline/program/FleetSizeTest.java
@@ -6,7 +6,7 @@
 
 import cairnline.standin.StandInFeed;
 import cairnline.standin.StandInFleet;
-import cairnline.standin.ToyClient;
+import cairnline.standin.StandInClient;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -33,7 +33,7 @@
     @TempDir
     Path folder;
 
-    private final LinkedBlockingQueue<ToyClient.Answer> answers = new LinkedBlockingQueue<>();
+    private final LinkedBlockingQueue<StandInClient.Answer> answers = new LinkedBlockingQueue<>();
     private int calls;
 
     @Test
@@ -44,7 +44,7 @@
             feed.tell(true, hosts(fleet, 0, ENGINES, "in_service"));
             manager.start("sh", "-c", "ulimit -n " + SOCKETS + "; exec \"$@\"", "sh");
             ReadinessCheck.await(manager.port(), LIMIT_S);
-            try (ToyClient client = new ToyClient(manager.port(), answers::add)) {
+            try (StandInClient client = new StandInClient(manager.port(), answers::add)) {
                 serve(client, 300);
                 int threads = threads(manager);
                 assertTrue(fleet.asked() > 32, "one manager's queries reach " + fleet.asked() + " engines");
@@ -88,7 +88,7 @@
                     "{\"n\": 2001, \"events\": [" + events + "]}", SOCKETS)) {
                 manager.start();
                 ReadinessCheck.await(manager.port(), LIMIT_S);
-                try (ToyClient client = new ToyClient(manager.port(), answers::add)) {
+                try (StandInClient client = new StandInClient(manager.port(), answers::add)) {
                     serve(client, BATCH);
                 }
                 assertEquals(1, fleet.asked(), "only the engine that is left was asked");
@@ -106,7 +106,7 @@
     }
 
     /** Asks of each class, and waits until all is answered; gives how many were served. */
-    private int ask(ToyClient client) throws Exception {
+    private int ask(StandInClient client) throws Exception {
         for (int i = 0; i < BATCH; i++) {
             calls++;
             String type = calls % 10 == 0 ? "load" : calls % 10 == 5 ? "report" : "lookup";
@@ -115,7 +115,7 @@
         }
         int served = 0;
         for (int i = 0; i < BATCH; i++) {
-            ToyClient.Answer answer = answers.poll(LIMIT_S, TimeUnit.SECONDS);
+            StandInClient.Answer answer = answers.poll(LIMIT_S, TimeUnit.SECONDS);
             assertNotNull(answer, i + " of " + BATCH + " were answered");
             served += answer.code() == 1 ? 1 : 0;
         }
@@ -123,14 +123,14 @@
     }
 
     /** All are served, of each class. */
-    private void serve(ToyClient client, int requests) throws Exception {
+    private void serve(StandInClient client, int requests) throws Exception {
         for (int done = 0; done < requests; done += BATCH) {
             assertEquals(BATCH, ask(client), "served after " + done);
         }
     }
 
     /** Sooner or later all are served again. */
-    private void regain(ToyClient client) throws Exception {
+    private void regain(StandInClient client) throws Exception {
         int batches = 0;
         while (ask(client) < BATCH) {
             assertTrue(++batches < BATCHES_MOST, "no batch of " + batches + " was served whole");
