--- a/example/ToyPlatform.java
+++ b/example/DemoPlatform.java
@@ -13,7 +13,7 @@
  * A toy server for a first try: the control feed at 127.0.0.1:8500, one engine at 127.0.0.1:7101 that answers every
  * query with the same row, and with the word "ask" a client that sends one lookup to 127.0.0.1:7001.
  */
-final class ToyPlatform {
+final class DemoPlatform {
     private static final String LIST = "{\"n\":1,\"members\":{\"seq\":1,\"whole\":true,\"hosts\":[{\"host\":\"toy\","
             + "\"dial\":\"127.0.0.1:7101\",\"site\":\"dc1\",\"class\":\"std16\",\"block\":0,\"health\":\"in_service\","
             + "\"share\":4,\"born_ms\":0}]}}\n";
@@ -23,8 +23,8 @@
             ask();
             return;
         }
-        serve(8500, ToyPlatform::feed);
-        serve(7101, ToyPlatform::engine);
+        serve(8500, DemoPlatform::feed);
+        serve(7101, DemoPlatform::engine);
         System.out.println("feed at 127.0.0.1:8500, engine at 127.0.0.1:7101");
     }
 
