--- a/src/test/java/cairnline/program/ODataRulesTest.java
+++ b/src/test/java/cairnline/program/ODataRulesTest.java
@@ -3,7 +3,7 @@
 /** The rule checks on this wire. */
 class ODataRulesTest extends RuleChecks {
     @Override
-    Wire wire(int mostClients) {
+    ProtocolFixture wire(int mostClients) {
         return new ODataWire(mostClients);
     }
 }
--- a/src/test/java/cairnline/program/ODataWire.java
+++ b/src/test/java/cairnline/program/ODataWire.java
@@ -21,7 +21,7 @@
 import java.util.Map;
 
 /** OData over HTTP/1.1 to clients and engines. */
-final class ODataWire implements Wire {
+final class ODataWire implements ProtocolFixture {
     static final ODataModel MODEL = new ODataModel(Map.of("Books",
             new ODataModel.EntitySet("Books", "lookup", "report", "load", "ID", "Edm.Int64", 17)));
     private final ConnectionBudget<PooledLink.Connection> connections = new ConnectionBudget<>(1_024, 20_000_000);
--- a/src/test/java/cairnline/program/PlatformWire.java
+++ b/src/test/java/cairnline/program/PlatformWire.java
@@ -22,7 +22,7 @@
 import java.util.Map;
 
 /** The platform's protocol: frames to clients, RESP to engines. */
-final class PlatformWire implements Wire {
+final class PlatformWire implements ProtocolFixture {
     private final Map<Long, String> streams = new HashMap<>();
     private final ConnectionBudget<PooledLink.Connection> connections = new ConnectionBudget<>(1_024, 20_000_000);
     private long lastStream;
--- a/src/test/java/cairnline/program/Wire.java
+++ b/src/test/java/cairnline/program/ProtocolFixture.java
@@ -8,7 +8,7 @@
 import java.util.List;
 
 /** What the rule checks need of a wire: its front, its links, and the words of stand-in clients and engines. */
-interface Wire extends AutoCloseable {
+interface ProtocolFixture extends AutoCloseable {
     /** A request as a scenario names it; {@code key} is null without. */
     record Ask(String name, String type, String key, long ttlMs) { }
 
--- a/src/test/java/cairnline/program/RuleChecks.java
+++ b/src/test/java/cairnline/program/RuleChecks.java
@@ -5,7 +5,7 @@
 /** The rules, told as scenarios; each wire's test runs them all unchanged. */
 abstract class RuleChecks {
     /** A wire whose front takes so many clients at once. */
-    abstract Wire wire(int mostClients);
+    abstract ProtocolFixture wire(int mostClients);
 
     private void play(String steps) throws Exception {
         Scenario.play(wire(Integer.MAX_VALUE), steps);
--- a/src/test/java/cairnline/program/Scenario.java
+++ b/src/test/java/cairnline/program/Scenario.java
@@ -9,9 +9,9 @@
 import cairnline.routing.Clock;
 import cairnline.routing.Core;
 import cairnline.membership.ListedEngine;
-import cairnline.program.Wire.Ask;
-import cairnline.program.Wire.Heard;
-import cairnline.program.Wire.Reader;
+import cairnline.program.ProtocolFixture.Ask;
+import cairnline.program.ProtocolFixture.Heard;
+import cairnline.program.ProtocolFixture.Reader;
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.InetAddress;
@@ -67,7 +67,7 @@
     /** Far more than the buffers of a connection take. */
     private static final int FLOOD_BLOCKS = 4_096;
 
-    private final Wire wire;
+    private final ProtocolFixture wire;
     private final Core core;
     private final int port;
     private final Map<String, ServerSocket> engines = new HashMap<>();
@@ -82,7 +82,7 @@
 
     private record Client(Socket socket, LinkedBlockingQueue<Heard> answers, StringBuffer text) { }
 
-    Scenario(Wire wire) throws IOException {
+    Scenario(ProtocolFixture wire) throws IOException {
         this.wire = wire;
         Configuration configuration = Configuration.of(Scenario.class.getResourceAsStream("/config.json")
                 .readAllBytes(), null);
@@ -94,7 +94,7 @@
     }
 
     /** Plays a scenario from its first step to its last. */
-    static void play(Wire wire, String steps) throws Exception {
+    static void play(ProtocolFixture wire, String steps) throws Exception {
         try (Scenario scenario = new Scenario(wire)) {
             for (String step : steps.strip().split("\n")) {
                 scenario.step(step.strip().split(" "), step.strip());
