--- a/src/test/java/cairnline/program/PlatformWire.java
+++ b/src/test/java/cairnline/program/PlatformProtocolFixture.java
@@ -22,7 +22,7 @@
 import java.util.Map;
 
 /** The platform's protocol: frames to clients, RESP to engines. */
-final class PlatformWire implements ProtocolFixture {
+final class PlatformProtocolFixture implements ProtocolFixture {
     private final Map<Long, String> streams = new HashMap<>();
     private final ConnectionBudget<PooledLink.Connection> connections = new ConnectionBudget<>(1_024, 20_000_000);
     private long lastStream;
@@ -30,12 +30,12 @@
     private final TestLoop loop = new TestLoop();
     private ClientFront front;
 
-    PlatformWire() {
+    PlatformProtocolFixture() {
         this(Integer.MAX_VALUE);
     }
 
     /** A front that takes so many clients at once. */
-    PlatformWire(int mostClients) {
+    PlatformProtocolFixture(int mostClients) {
         this.mostClients = mostClients;
     }
 
--- a/src/test/java/cairnline/program/PlatformRulesTest.java
+++ b/src/test/java/cairnline/program/PlatformRulesTest.java
@@ -4,6 +4,6 @@
 class PlatformRulesTest extends RuleChecks {
     @Override
     ProtocolFixture wire(int mostClients) {
-        return new PlatformWire(mostClients);
+        return new PlatformProtocolFixture(mostClients);
     }
 }
--- a/src/test/java/cairnline/program/PlatformWireTest.java
+++ b/src/test/java/cairnline/program/PlatformWireTest.java
@@ -8,7 +8,7 @@
 /** What only the platform's protocol has: pages, streams, and its own ways to be wrong. */
 class PlatformWireTest {
     private static void play(String steps) throws Exception {
-        Scenario.play(new PlatformWire(), steps);
+        Scenario.play(new PlatformProtocolFixture(), steps);
     }
 
     private static String request(long stream, Map<String, String> fields) {
@@ -292,7 +292,7 @@
     @Test
     void theIdOfAnOpenRequestServesNoOther() throws Exception {
         // Engines know requests by their id: two would share their answers.
-        String other = request(1, Map.of("op", "lookup", "ttl", "1000", "call", PlatformWire.id("r1")));
+        String other = request(1, Map.of("op", "lookup", "ttl", "1000", "call", PlatformProtocolFixture.id("r1")));
         play("""
                 list e1 ready
                 client a send lookup r1
