--- a/src/test/java/cairnline/program/ODataWire.java
+++ b/src/test/java/cairnline/program/ODataProtocolFixture.java
@@ -21,7 +21,7 @@
 import java.util.Map;
 
 /** OData over HTTP/1.1 to clients and engines. */
-final class ODataWire implements ProtocolFixture {
+final class ODataProtocolFixture implements ProtocolFixture {
     static final ODataModel MODEL = new ODataModel(Map.of("Books",
             new ODataModel.EntitySet("Books", "lookup", "report", "load", "ID", "Edm.Int64", 17)));
     private final ConnectionBudget<PooledLink.Connection> connections = new ConnectionBudget<>(1_024, 20_000_000);
@@ -30,12 +30,12 @@
     private final TestLoop loop = new TestLoop();
     private ODataFront front;
 
-    ODataWire() {
+    ODataProtocolFixture() {
         this(Integer.MAX_VALUE);
     }
 
     /** A front that takes so many clients at once. */
-    ODataWire(int mostClients) {
+    ODataProtocolFixture(int mostClients) {
         this.mostClients = mostClients;
     }
 
--- a/src/test/java/cairnline/program/ODataRulesTest.java
+++ b/src/test/java/cairnline/program/ODataRulesTest.java
@@ -4,6 +4,6 @@
 class ODataRulesTest extends RuleChecks {
     @Override
     ProtocolFixture wire(int mostClients) {
-        return new ODataWire(mostClients);
+        return new ODataProtocolFixture(mostClients);
     }
 }
--- a/src/test/java/cairnline/program/ODataWireTest.java
+++ b/src/test/java/cairnline/program/ODataWireTest.java
@@ -7,7 +7,7 @@
     private static final String HOST = "HTTP/1.1\\r\\nHost: x\\r\\n";
 
     private static void play(String steps) throws Exception {
-        Scenario.play(new ODataWire(), steps);
+        Scenario.play(new ODataProtocolFixture(), steps);
     }
 
     private static String get(String target) {
