--- a/src/test/java/cairnline/program/PlatformWireTest.java
+++ b/src/test/java/cairnline/program/PlatformProtocolTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What only the platform's protocol has: pages, streams, and its own ways to be wrong. */
-class PlatformWireTest {
+class PlatformProtocolTest {
     private static void play(String steps) throws Exception {
         Scenario.play(new PlatformProtocolFixture(), steps);
     }
