--- a/src/test/java/cairnline/program/ODataWireTest.java
+++ b/src/test/java/cairnline/program/ODataProtocolTest.java
@@ -3,7 +3,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What only OData has: its documents, its errors and its batches. */
-class ODataWireTest {
+class ODataProtocolTest {
     private static final String HOST = "HTTP/1.1\\r\\nHost: x\\r\\n";
 
     private static void play(String steps) throws Exception {
