--- a/src/test/java/cairnline/program/RuleChecks.java
+++ b/src/test/java/cairnline/program/ProtocolContract.java
@@ -3,7 +3,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The rules, told as scenarios; each wire's test runs them all unchanged. */
-abstract class RuleChecks {
+abstract class ProtocolContract {
     /** A wire whose front takes so many clients at once. */
     abstract ProtocolFixture wire(int mostClients);
 
