--- a/src/test/java/cairnline/program/PlatformRulesTest.java
+++ b/src/test/java/cairnline/program/PlatformContractTest.java
@@ -1,7 +1,7 @@
 package cairnline.program;
 
 /** The rule checks on this wire. */
-class PlatformRulesTest extends ProtocolContract {
+class PlatformContractTest extends ProtocolContract {
     @Override
     ProtocolFixture wire(int mostClients) {
         return new PlatformProtocolFixture(mostClients);
