--- a/src/test/java/cairnline/program/ODataRulesTest.java
+++ b/src/test/java/cairnline/program/ODataContractTest.java
@@ -1,7 +1,7 @@
 package cairnline.program;
 
 /** The rule checks on this wire. */
-class ODataRulesTest extends ProtocolContract {
+class ODataContractTest extends ProtocolContract {
     @Override
     ProtocolFixture wire(int mostClients) {
         return new ODataProtocolFixture(mostClients);
