--- a/src/main/java/cairnline/program/MeasureDiscovery.java
+++ b/src/main/java/cairnline/program/MeasureDiscovery.java
@@ -186,8 +186,8 @@
             engines.add(engine(false));
         }
         try (StandInFeed feed = new StandInFeed()) {
-            List<StandInFeed.Host> hosts = new ArrayList<>();
-            engines.forEach(e -> hosts.add(new StandInFeed.Host("e" + hosts.size(), e.address(), "in_service", 0)));
+            List<StandInFeed.EngineEntry> hosts = new ArrayList<>();
+            engines.forEach(e -> hosts.add(new StandInFeed.EngineEntry("e" + hosts.size(), e.address(), "in_service", 0)));
             feed.tell(true, hosts);
             if (!up) {
                 feed.hide();
--- a/src/main/java/cairnline/program/TryCommand.java
+++ b/src/main/java/cairnline/program/TryCommand.java
@@ -57,8 +57,8 @@
         return new StandInRespEngine(0, StandInRespEngine.Manner.ENGINE, ENGINE, false, SyntheticWorkload.costs(SCALE));
     }
 
-    private static StandInFeed.Host host(String id, StandInRespEngine engine) {
-        return new StandInFeed.Host(id, engine.address(), "in_service", 0);
+    private static StandInFeed.EngineEntry host(String id, StandInRespEngine engine) {
+        return new StandInFeed.EngineEntry(id, engine.address(), "in_service", 0);
     }
 
     private static void remove(Path folder) throws IOException {
--- a/src/main/java/cairnline/standin/StandInFeed.java
+++ b/src/main/java/cairnline/standin/StandInFeed.java
@@ -22,7 +22,7 @@
     private ServerSocket server;
 
     /** One engine of an event. */
-    public record Host(String id, String address, String health, long bornMs) {
+    public record EngineEntry(String id, String address, String health, long bornMs) {
         /** The host as an event words it. */
         public String json() {
             return "{\"host\":\"" + id + "\",\"dial\":\"" + address + "\",\"site\":\"dc1\",\"class\":\"std16\","
@@ -48,7 +48,7 @@
     }
 
     /** Tells of engines; the first event must be whole. Told at once to those that follow. */
-    public synchronized void tell(boolean whole, List<Host> hosts) {
+    public synchronized void tell(boolean whole, List<EngineEntry> hosts) {
         int number = events.size() + 1;
         events.add("{\"n\":" + number + ",\"members\":{\"seq\":" + number + ",\"whole\":" + whole + ",\"hosts\":["
                 + String.join(",", hosts.stream().map(Host::json).toList()) + "]}}");
--- a/src/test/java/cairnline/program/CrowdTest.java
+++ b/src/test/java/cairnline/program/CrowdTest.java
@@ -60,10 +60,10 @@
         }
     }
 
-    private static List<StandInFeed.Host> hosts(StandInFleet fleet) {
-        List<StandInFeed.Host> hosts = new ArrayList<>();
+    private static List<StandInFeed.EngineEntry> hosts(StandInFleet fleet) {
+        List<StandInFeed.EngineEntry> hosts = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            hosts.add(new StandInFeed.Host("s-" + i, fleet.address(i), "in_service", 0));
+            hosts.add(new StandInFeed.EngineEntry("s-" + i, fleet.address(i), "in_service", 0));
         }
         return hosts;
     }
--- a/src/test/java/cairnline/program/DiscoveryTest.java
+++ b/src/test/java/cairnline/program/DiscoveryTest.java
@@ -173,8 +173,8 @@
             }
             return !drained.received().isEmpty() && !ended.received().isEmpty() && !stays.received().isEmpty();
         });
-        feed.tell(true, List.of(new StandInFeed.Host("e1", drained.address(), "terminating", 0),
-                new StandInFeed.Host("e3", stays.address(), "in_service", 0)));
+        feed.tell(true, List.of(new StandInFeed.EngineEntry("e1", drained.address(), "terminating", 0),
+                new StandInFeed.EngineEntry("e3", stays.address(), "in_service", 0)));
         feed.show();
         until(() -> !feed.asked().isEmpty());
         long toldAt = System.nanoTime() / 1_000;
@@ -222,7 +222,7 @@
         ManagerProcess manager = manager(kept("old", next));
         StandInClient client = client(manager);
         served(client, 5);
-        feed.tell(true, List.of(new StandInFeed.Host("new", next.address(), "in_service", System.currentTimeMillis())));
+        feed.tell(true, List.of(new StandInFeed.EngineEntry("new", next.address(), "in_service", System.currentTimeMillis())));
         feed.show();
         until(() -> !feed.asked().isEmpty());
         served(client, 5);
@@ -256,7 +256,7 @@
         StandInRespEngine onDisk = engine();
         StandInRespEngine known = engine();
         ManagerProcess manager = manager(0, 1, "{\"n\":3,\"events\":[{\"n\":3,\"members\":{\"seq\":3,\"whole\":true,\"hosts\":["
-                + new StandInFeed.Host("e2", known.address(), "in_service", 0).json() + "]}}]}", kept("e1", onDisk));
+                + new StandInFeed.EngineEntry("e2", known.address(), "in_service", 0).json() + "]}}]}", kept("e1", onDisk));
         served(client(manager), 20);
         assertEquals(List.of(), onDisk.received());
         assertTrue(manager.logged().contains("event=snapshot.unused"), manager.logged());
--- a/src/test/java/cairnline/program/FleetSizeTest.java
+++ b/src/test/java/cairnline/program/FleetSizeTest.java
@@ -79,11 +79,11 @@
             StringJoiner events = new StringJoiner(",");
             for (int n = 1; n <= 2_000; n++) {
                 String health = n % 2 == 0 ? "terminated" : "in_service";
-                String host = new StandInFeed.Host("s-" + (n - 1) / 2, fleet.address(0), health, 0).json();
+                String host = new StandInFeed.EngineEntry("s-" + (n - 1) / 2, fleet.address(0), health, 0).json();
                 events.add("{\"n\":" + n + ",\"members\":{\"seq\":" + n + ",\"whole\":false,\"hosts\":[" + host + "]}}");
             }
             events.add("{\"n\":2001,\"members\":{\"seq\":2001,\"whole\":false,\"hosts\":["
-                    + new StandInFeed.Host("s-last", fleet.address(1), "in_service", 0).json() + "]}}");
+                    + new StandInFeed.EngineEntry("s-last", fleet.address(1), "in_service", 0).json() + "]}}");
             try (ManagerProcess manager = new ManagerProcess(folder, 0, 120, feed.address(), null,
                     "{\"n\": 2001, \"events\": [" + events + "]}", SOCKETS)) {
                 manager.start();
@@ -97,10 +97,10 @@
         }
     }
 
-    private static List<StandInFeed.Host> hosts(StandInFleet fleet, int from, int to, String health) {
-        List<StandInFeed.Host> hosts = new ArrayList<>();
+    private static List<StandInFeed.EngineEntry> hosts(StandInFleet fleet, int from, int to, String health) {
+        List<StandInFeed.EngineEntry> hosts = new ArrayList<>();
         for (int i = from; i < to; i++) {
-            hosts.add(new StandInFeed.Host(String.format("s-%08x", i * 0x9E3779B1), fleet.address(i), health, 0));
+            hosts.add(new StandInFeed.EngineEntry(String.format("s-%08x", i * 0x9E3779B1), fleet.address(i), health, 0));
         }
         return hosts;
     }
--- a/src/test/java/cairnline/program/SoakRun.java
+++ b/src/test/java/cairnline/program/SoakRun.java
@@ -96,8 +96,8 @@
         }
     }
 
-    private StandInFeed.Host host(int engine, String health) {
-        return new StandInFeed.Host("s-" + engine, proxies.get(engine).address(), health, 0);
+    private StandInFeed.EngineEntry host(int engine, String health) {
+        return new StandInFeed.EngineEntry("s-" + engine, proxies.get(engine).address(), health, 0);
     }
 
     private void disturb(int step) throws Exception {
