--- a/src/main/java/cairnline/program/MeasureDiscovery.java
+++ b/src/main/java/cairnline/program/MeasureDiscovery.java
@@ -132,7 +132,7 @@
     }
 
     private static StandInRespEngine engine(boolean cold) throws IOException {
-        return new StandInRespEngine(0, StandInRespEngine.Manner.ENGINE, SHAPE, cold, SyntheticWorkload.costs(1));
+        return new StandInRespEngine(0, StandInRespEngine.Behavior.ENGINE, SHAPE, cold, SyntheticWorkload.costs(1));
     }
 
     /** On one core that another process shares, so that half of it is left. */
--- a/src/main/java/cairnline/program/TryCommand.java
+++ b/src/main/java/cairnline/program/TryCommand.java
@@ -54,7 +54,7 @@
     }
 
     private static StandInRespEngine engine() throws IOException {
-        return new StandInRespEngine(0, StandInRespEngine.Manner.ENGINE, ENGINE, false, SyntheticWorkload.costs(SCALE));
+        return new StandInRespEngine(0, StandInRespEngine.Behavior.ENGINE, ENGINE, false, SyntheticWorkload.costs(SCALE));
     }
 
     private static StandInFeed.EngineEntry host(String id, StandInRespEngine engine) {
--- a/src/main/java/cairnline/standin/StandInRespEngine.java
+++ b/src/main/java/cairnline/standin/StandInRespEngine.java
@@ -20,7 +20,7 @@
  */
 public final class StandInRespEngine implements AutoCloseable {
     /** What answers at the address. */
-    public enum Manner {
+    public enum Behavior {
         /** An engine. */
         ENGINE,
         /** Something that takes connections and says nothing. */
@@ -44,7 +44,7 @@
 
     private final ServerSocket server;
     private final Thread accepting;
-    private final Manner manner;
+    private final Behavior manner;
     private final Map<String, Cost> costs;
     private final EngineModel model;
     private final Map<String, Asked> open = new HashMap<>();
@@ -56,7 +56,7 @@
     private record Asked(Socket from, String id, long work) { }
 
     /** An engine at this port (0 for any), warm or cold, that starts now. */
-    public StandInRespEngine(int port, Manner manner, EngineModel.Shape shape, boolean cold, Map<String, Cost> costs)
+    public StandInRespEngine(int port, Behavior manner, EngineModel.Shape shape, boolean cold, Map<String, Cost> costs)
             throws IOException {
         this.server = new ServerSocket(port, 200, InetAddress.getByName("127.0.0.1"));
         this.manner = manner;
@@ -135,10 +135,10 @@
         byte[] bytes = new byte[8_192];
         Resp resp = new Resp(PARTS_MOST, PART_MOST);
         for (int count = in.read(bytes); count >= 0; count = in.read(bytes)) {
-            if (manner == Manner.FOREIGN) {
+            if (manner == Behavior.FOREIGN) {
                 socket.getOutputStream().write(FOREIGN.getBytes(StandardCharsets.US_ASCII));
                 return;
-            } else if (manner == Manner.ENGINE) {
+            } else if (manner == Behavior.ENGINE) {
                 resp.feed(bytes, count);
                 for (List<byte[]> parts = resp.next(); parts != null; parts = resp.next()) {
                     take(socket, parts.stream().map(part -> new String(part, StandardCharsets.UTF_8)).toList());
--- a/src/test/java/cairnline/program/DiscoveryTest.java
+++ b/src/test/java/cairnline/program/DiscoveryTest.java
@@ -10,7 +10,7 @@
 import cairnline.standin.EngineModel;
 import cairnline.standin.StandInFeed;
 import cairnline.standin.StandInRespEngine;
-import cairnline.standin.StandInRespEngine.Manner;
+import cairnline.standin.StandInRespEngine.Behavior;
 import cairnline.standin.StandInClient;
 import cairnline.store.Snapshot;
 import cairnline.store.SnapshotCodec;
@@ -65,17 +65,17 @@
         return resource;
     }
 
-    private StandInRespEngine engine(Manner manner, boolean cold) throws IOException {
+    private StandInRespEngine engine(Behavior manner, boolean cold) throws IOException {
         return open(new StandInRespEngine(0, manner, SHAPE, cold, COSTS));
     }
 
     /** One whose queries are as large as the settings' aims suppose. */
     private StandInRespEngine large(int port, boolean cold) throws IOException {
-        return open(new StandInRespEngine(port, Manner.ENGINE, SHAPE, cold, SyntheticWorkload.costs(1)));
+        return open(new StandInRespEngine(port, Behavior.ENGINE, SHAPE, cold, SyntheticWorkload.costs(1)));
     }
 
     private StandInRespEngine engine() throws IOException {
-        return engine(Manner.ENGINE, false);
+        return engine(Behavior.ENGINE, false);
     }
 
     private static long unixMicros() {
@@ -202,8 +202,8 @@
     void addressesThatAreNoEnginesAreToldApartAndNothingIsSentThere() throws Exception {
         StandInRespEngine gone = engine();
         gone.close();
-        StandInRespEngine silent = engine(Manner.SILENT, false);
-        StandInRespEngine foreign = engine(Manner.FOREIGN, false);
+        StandInRespEngine silent = engine(Behavior.SILENT, false);
+        StandInRespEngine foreign = engine(Behavior.FOREIGN, false);
         StandInRespEngine real = engine();
         ManagerProcess manager = manager(kept("gone", gone), kept("silent", silent), kept("foreign", foreign),
                 kept("real", real));
@@ -218,7 +218,7 @@
 
     @Test
     void anAddressThatNowBelongsToANewEngineServesUnderItsNewName() throws Exception {
-        StandInRespEngine next = engine(Manner.ENGINE, true);
+        StandInRespEngine next = engine(Behavior.ENGINE, true);
         ManagerProcess manager = manager(kept("old", next));
         StandInClient client = client(manager);
         served(client, 5);
--- a/src/test/java/cairnline/program/TerminationTest.java
+++ b/src/test/java/cairnline/program/TerminationTest.java
@@ -48,7 +48,7 @@
 
     @Test
     void aRequestAtAHungEngineIsAnsweredBeforeTheEarliestKill() throws Exception {
-        try (StandInRespEngine hung = new StandInRespEngine(0, StandInRespEngine.Manner.SILENT, SHAPE, false, Map.of());
+        try (StandInRespEngine hung = new StandInRespEngine(0, StandInRespEngine.Behavior.SILENT, SHAPE, false, Map.of());
                 StandInFeed feed = new StandInFeed(); ManagerProcess manager = start(feed, hung.address());
                 FrameClient client = new FrameClient(manager.port())) {
             FrameClient.Call load = client.ask("load", "000000000000000a", 25_000);
@@ -75,7 +75,7 @@
 
     @Test
     void requestsAreAnsweredUntilAKillThatShortDeadlinesBringForward() throws Exception {
-        try (StandInRespEngine hung = new StandInRespEngine(0, StandInRespEngine.Manner.SILENT, SHAPE, false, Map.of());
+        try (StandInRespEngine hung = new StandInRespEngine(0, StandInRespEngine.Behavior.SILENT, SHAPE, false, Map.of());
                 StandInFeed feed = new StandInFeed(); ManagerProcess manager = start(feed, hung.address(), text ->
                         text.replaceAll("\"deadlineNs\": \\d+", "\"deadlineNs\": " + SHORT_DEADLINE_MS * 1_000_000))) {
             assertAnsweredUntilKilled(manager, EARLIEST_KILL_SHORT_MS);
