--- a/src/main/java/cairnline/program/MeasureDiscovery.java
+++ b/src/main/java/cairnline/program/MeasureDiscovery.java
@@ -31,7 +31,7 @@
     private static final int MANAGERS = 3;
     private static final int ENGINES = 4;
     private static final long LIMIT_S = 30;
-    private static final EngineModel.Shape SHAPE = new EngineModel.Shape(16, 0.31, 15 * SECOND, true, 4, 3 * SECOND / 2);
+    private static final EngineModel.EngineParameters SHAPE = new EngineModel.EngineParameters(16, 0.31, 15 * SECOND, true, 4, 3 * SECOND / 2);
 
     private final Path folder;
 
--- a/src/main/java/cairnline/program/TryCommand.java
+++ b/src/main/java/cairnline/program/TryCommand.java
@@ -21,7 +21,7 @@
     private static final double SCALE = 0.1;
     private static final long ANSWERS_S = 30;
     private static final long UP_S = 20;
-    private static final EngineModel.Shape ENGINE = new EngineModel.Shape(16, 0.31, 15_000_000, false, 4, 1_500_000);
+    private static final EngineModel.EngineParameters ENGINE = new EngineModel.EngineParameters(16, 0.31, 15_000_000, false, 4, 1_500_000);
 
     @Option(names = "--requests", defaultValue = "60", description = "how many requests (${DEFAULT-VALUE})")
     private int requests;
--- a/src/main/java/cairnline/standin/EngineModel.java
+++ b/src/main/java/cairnline/standin/EngineModel.java
@@ -18,7 +18,7 @@
     private static final long STEP = 50_000;
     private static final double DONE = 0.5;
 
-    private final Shape shape;
+    private final EngineParameters shape;
     private final long startedAt;
     private final boolean cold;
     private final Map<String, Running> running = new LinkedHashMap<>();
@@ -39,7 +39,7 @@
      * @param tipMultiple so many times what it can do make it fall, cold
      * @param overloadFor if sent within such a window
      */
-    public record Shape(int cores, double coldFrom, long warmWithin, boolean late, double tipMultiple,
+    public record EngineParameters(int cores, double coldFrom, long warmWithin, boolean late, double tipMultiple,
                         long overloadFor) { }
 
     private record Arrival(long at, double work) { }
@@ -57,7 +57,7 @@
     }
 
     /** An engine that starts now. */
-    public EngineModel(Shape shape, boolean cold, long now) {
+    public EngineModel(EngineParameters shape, boolean cold, long now) {
         this.shape = shape;
         this.cold = cold;
         this.startedAt = now;
--- a/src/main/java/cairnline/standin/StandInRespEngine.java
+++ b/src/main/java/cairnline/standin/StandInRespEngine.java
@@ -56,7 +56,7 @@
     private record Asked(Socket from, String id, long work) { }
 
     /** An engine at this port (0 for any), warm or cold, that starts now. */
-    public StandInRespEngine(int port, Behavior manner, EngineModel.Shape shape, boolean cold, Map<String, Cost> costs)
+    public StandInRespEngine(int port, Behavior manner, EngineModel.EngineParameters shape, boolean cold, Map<String, Cost> costs)
             throws IOException {
         this.server = new ServerSocket(port, 200, InetAddress.getByName("127.0.0.1"));
         this.manner = manner;
--- a/src/test/java/cairnline/program/DiscoveryTest.java
+++ b/src/test/java/cairnline/program/DiscoveryTest.java
@@ -37,7 +37,7 @@
     private static final long YEAR = 365L * 86_400 * SECOND;
     private static final Map<String, StandInRespEngine.Cost> COSTS = SyntheticWorkload.costs(0.1);
     /** Late to warm up: the worst that the rules leave open. */
-    private static final EngineModel.Shape SHAPE = new EngineModel.Shape(16, 0.31, 15 * SECOND, true, 4, 3 * SECOND / 2);
+    private static final EngineModel.EngineParameters SHAPE = new EngineModel.EngineParameters(16, 0.31, 15 * SECOND, true, 4, 3 * SECOND / 2);
 
     @TempDir
     Path folder;
--- a/src/test/java/cairnline/program/TerminationTest.java
+++ b/src/test/java/cairnline/program/TerminationTest.java
@@ -28,7 +28,7 @@
     private static final long SHORT_DEADLINE_MS = 500;
     private static final long EARLIEST_KILL_SHORT_MS = SHORT_DEADLINE_MS + 700;
     private static final long CROSSING_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
-    private static final EngineModel.Shape SHAPE = new EngineModel.Shape(16, 1, 1, false, 100, 1_000_000);
+    private static final EngineModel.EngineParameters SHAPE = new EngineModel.EngineParameters(16, 1, 1, false, 100, 1_000_000);
 
     @TempDir
     Path folder;
