--- a/src/main/java/cairnline/program/MeasureDiscovery.java
+++ b/src/main/java/cairnline/program/MeasureDiscovery.java
@@ -188,7 +188,7 @@
         try (StandInFeed feed = new StandInFeed()) {
             List<StandInFeed.EngineEntry> hosts = new ArrayList<>();
             engines.forEach(e -> hosts.add(new StandInFeed.EngineEntry("e" + hosts.size(), e.address(), "in_service", 0)));
-            feed.tell(true, hosts);
+            feed.publish(true, hosts);
             if (!up) {
                 feed.hide();
             }
--- a/src/main/java/cairnline/program/TryCommand.java
+++ b/src/main/java/cairnline/program/TryCommand.java
@@ -36,7 +36,7 @@
              StandInRespEngine one = engine();
              StandInRespEngine two = engine();
              ManagerProcess manager = new ManagerProcess(folder, 0, 1, feed.address(), null)) {
-            feed.tell(true, List.of(host("toy-1", one), host("toy-2", two)));
+            feed.publish(true, List.of(host("toy-1", one), host("toy-2", two)));
             manager.start();
             System.out.println("control feed at " + feed.address() + ", engines at " + one.address() + " and "
                     + two.address() + ", workload manager at 127.0.0.1:" + manager.port());
--- a/src/main/java/cairnline/standin/StandInFeed.java
+++ b/src/main/java/cairnline/standin/StandInFeed.java
@@ -48,7 +48,7 @@
     }
 
     /** Tells of engines; the first event must be whole. Told at once to those that follow. */
-    public synchronized void tell(boolean whole, List<EngineEntry> hosts) {
+    public synchronized void publish(boolean whole, List<EngineEntry> hosts) {
         int number = events.size() + 1;
         events.add("{\"n\":" + number + ",\"members\":{\"seq\":" + number + ",\"whole\":" + whole + ",\"hosts\":["
                 + String.join(",", hosts.stream().map(Host::json).toList()) + "]}}");
--- a/src/test/java/cairnline/program/CrowdTest.java
+++ b/src/test/java/cairnline/program/CrowdTest.java
@@ -34,7 +34,7 @@
         try (StandInFleet fleet = new StandInFleet(4); StandInFeed feed = new StandInFeed();
                 ManagerProcess manager = new ManagerProcess(folder, 0, 1, feed.address(), null,
                         "{\"n\": 0, \"events\": []}", SOCKETS)) {
-            feed.tell(true, hosts(fleet));
+            feed.publish(true, hosts(fleet));
             manager.start();
             ReadinessCheck.await(manager.port(), LIMIT_S);
             try (FrameClient client = new FrameClient(manager.port())) {
--- a/src/test/java/cairnline/program/DiscoveryTest.java
+++ b/src/test/java/cairnline/program/DiscoveryTest.java
@@ -173,7 +173,7 @@
             }
             return !drained.received().isEmpty() && !ended.received().isEmpty() && !stays.received().isEmpty();
         });
-        feed.tell(true, List.of(new StandInFeed.EngineEntry("e1", drained.address(), "terminating", 0),
+        feed.publish(true, List.of(new StandInFeed.EngineEntry("e1", drained.address(), "terminating", 0),
                 new StandInFeed.EngineEntry("e3", stays.address(), "in_service", 0)));
         feed.show();
         until(() -> !feed.asked().isEmpty());
@@ -222,7 +222,7 @@
         ManagerProcess manager = manager(kept("old", next));
         StandInClient client = client(manager);
         served(client, 5);
-        feed.tell(true, List.of(new StandInFeed.EngineEntry("new", next.address(), "in_service", System.currentTimeMillis())));
+        feed.publish(true, List.of(new StandInFeed.EngineEntry("new", next.address(), "in_service", System.currentTimeMillis())));
         feed.show();
         until(() -> !feed.asked().isEmpty());
         served(client, 5);
@@ -260,7 +260,7 @@
         served(client(manager), 20);
         assertEquals(List.of(), onDisk.received());
         assertTrue(manager.logged().contains("event=snapshot.unused"), manager.logged());
-        feed.tell(true, List.of());
+        feed.publish(true, List.of());
         feed.show();
         until(() -> feed.asked().contains("SUB 3"));
     }
--- a/src/test/java/cairnline/program/FleetSizeTest.java
+++ b/src/test/java/cairnline/program/FleetSizeTest.java
@@ -41,7 +41,7 @@
         try (StandInFleet fleet = new StandInFleet(ENGINES); StandInFeed feed = new StandInFeed();
                 ManagerProcess manager = new ManagerProcess(folder, 0, 120, feed.address(), null,
                         "{\"n\": 0, \"events\": []}", SOCKETS)) {
-            feed.tell(true, hosts(fleet, 0, ENGINES, "in_service"));
+            feed.publish(true, hosts(fleet, 0, ENGINES, "in_service"));
             manager.start("sh", "-c", "ulimit -n " + SOCKETS + "; exec \"$@\"", "sh");
             ReadinessCheck.await(manager.port(), LIMIT_S);
             try (StandInClient client = new StandInClient(manager.port(), answers::add)) {
@@ -51,10 +51,10 @@
 
                 fleet.kill(0, THIRD);
                 ask(client);
-                feed.tell(false, hosts(fleet, 0, THIRD, "terminated"));
+                feed.publish(false, hosts(fleet, 0, THIRD, "terminated"));
                 regain(client);
                 fleet.revive(0, THIRD);
-                feed.tell(true, hosts(fleet, 0, ENGINES, "in_service"));
+                feed.publish(true, hosts(fleet, 0, ENGINES, "in_service"));
                 serve(client, 150);
                 fleet.resetNext(20);
                 ask(client);
--- a/src/test/java/cairnline/program/MemoryTest.java
+++ b/src/test/java/cairnline/program/MemoryTest.java
@@ -85,7 +85,7 @@
     }
 
     private ManagerProcess start(StandInFeed feed, LargeAnswers engine) throws Exception {
-        feed.tell(true, List.of(new StandInFeed.EngineEntry("s-1", "127.0.0.1:" + engine.server.getLocalPort(), "in_service", 0)));
+        feed.publish(true, List.of(new StandInFeed.EngineEntry("s-1", "127.0.0.1:" + engine.server.getLocalPort(), "in_service", 0)));
         ManagerProcess manager = new ManagerProcess(folder, 0, 1, feed.address(), null);
         manager.start();
         ReadinessCheck.await(manager.port(), LIMIT_S);
--- a/src/test/java/cairnline/program/SoakRun.java
+++ b/src/test/java/cairnline/program/SoakRun.java
@@ -76,7 +76,7 @@
             engines.add(new RecordingEngine("s-" + i, seed * ENGINES + i));
             proxies.add(new FaultProxy(engines.get(i).port()));
         }
-        feed.tell(true, List.of(host(0, "in_service"), host(1, "in_service"), host(2, "in_service"), host(3, "in_service")));
+        feed.publish(true, List.of(host(0, "in_service"), host(1, "in_service"), host(2, "in_service"), host(3, "in_service")));
         for (int i = 0; i < MANAGERS; i++) {
             ManagerProcess manager = new ManagerProcess(folder.resolve("m" + i), i, MANAGERS, feed.address(), null,
                     "{\"n\": 0, \"events\": []}", SOCKETS);
@@ -137,7 +137,7 @@
     /** Engine 0 drains, once, and stays up; it counts as told while the feed can be reached. */
     private void drainOne() {
         if (!hidden && drainedAt.isEmpty()) {
-            feed.tell(false, List.of(host(0, "terminating")));
+            feed.publish(false, List.of(host(0, "terminating")));
             drainedAt.put("s-0", System.nanoTime() + DRAIN_NANOS);
         }
     }
