--- a/src/main/java/cairnline/program/MeasureDiscovery.java
+++ b/src/main/java/cairnline/program/MeasureDiscovery.java
@@ -166,7 +166,7 @@
 
     private static StandInFeed hidden() throws IOException {
         StandInFeed feed = new StandInFeed();
-        feed.hide();
+        feed.goOffline();
         return feed;
     }
 
@@ -190,7 +190,7 @@
             engines.forEach(e -> hosts.add(new StandInFeed.EngineEntry("e" + hosts.size(), e.address(), "in_service", 0)));
             feed.publish(true, hosts);
             if (!up) {
-                feed.hide();
+                feed.goOffline();
             }
             return load(name, feed, up ? null : engines, perSecond);
         } finally {
--- a/src/main/java/cairnline/standin/StandInFeed.java
+++ b/src/main/java/cairnline/standin/StandInFeed.java
@@ -56,7 +56,7 @@
     }
 
     /** From now on it can't be reached; what it is told meanwhile is told later. */
-    public synchronized void hide() throws IOException {
+    public synchronized void goOffline() throws IOException {
         server.close();
         for (Socket follower : followers) {
             follower.close();
@@ -127,6 +127,6 @@
 
     @Override
     public synchronized void close() throws IOException {
-        hide();
+        goOffline();
     }
 }
--- a/src/test/java/cairnline/program/DiscoveryTest.java
+++ b/src/test/java/cairnline/program/DiscoveryTest.java
@@ -50,7 +50,7 @@
     @BeforeEach
     void hideTheFeed() throws IOException {
         feed = open(new StandInFeed());
-        feed.hide();
+        feed.goOffline();
     }
 
     @AfterEach
--- a/src/test/java/cairnline/program/FirstAskTest.java
+++ b/src/test/java/cairnline/program/FirstAskTest.java
@@ -95,7 +95,7 @@
     @Test
     void itIsReadyThoughTheFeedCannotBeReached() throws Exception {
         StandInFeed hidden = new StandInFeed();
-        hidden.hide();
+        hidden.goOffline();
         untilReady(follow(Configuration.address("feed", hidden.address()), configuration.limits()));
     }
 }
--- a/src/test/java/cairnline/program/SoakRun.java
+++ b/src/test/java/cairnline/program/SoakRun.java
@@ -123,7 +123,7 @@
         if (hidden) {
             feed.show();
         } else {
-            feed.hide();
+            feed.goOffline();
         }
         hidden = !hidden;
     }
