--- a/src/main/java/cairnline/standin/StandInFeed.java
+++ b/src/main/java/cairnline/standin/StandInFeed.java
@@ -65,7 +65,7 @@
     }
 
     /** It can be reached again. */
-    public synchronized void show() throws IOException {
+    public synchronized void goOnline() throws IOException {
         server = new ServerSocket(port, 50, InetAddress.getByName("127.0.0.1"));
         serve(server);
     }
--- a/src/test/java/cairnline/program/DiscoveryTest.java
+++ b/src/test/java/cairnline/program/DiscoveryTest.java
@@ -175,7 +175,7 @@
         });
         feed.publish(true, List.of(new StandInFeed.EngineEntry("e1", drained.address(), "terminating", 0),
                 new StandInFeed.EngineEntry("e3", stays.address(), "in_service", 0)));
-        feed.show();
+        feed.goOnline();
         until(() -> !feed.asked().isEmpty());
         long toldAt = System.nanoTime() / 1_000;
         assertEquals("SUB 0", feed.asked().get(0));
@@ -223,7 +223,7 @@
         StandInClient client = client(manager);
         served(client, 5);
         feed.publish(true, List.of(new StandInFeed.EngineEntry("new", next.address(), "in_service", System.currentTimeMillis())));
-        feed.show();
+        feed.goOnline();
         until(() -> !feed.asked().isEmpty());
         served(client, 5);
         assertEquals(0, manager.end());
@@ -261,7 +261,7 @@
         assertEquals(List.of(), onDisk.received());
         assertTrue(manager.logged().contains("event=snapshot.unused"), manager.logged());
         feed.publish(true, List.of());
-        feed.show();
+        feed.goOnline();
         until(() -> feed.asked().contains("SUB 3"));
     }
 
--- a/src/test/java/cairnline/program/SoakRun.java
+++ b/src/test/java/cairnline/program/SoakRun.java
@@ -121,7 +121,7 @@
 
     private void hideOrShow() throws IOException {
         if (hidden) {
-            feed.show();
+            feed.goOnline();
         } else {
             feed.goOffline();
         }
