--- a/src/main/java/cairnline/standin/StandInFeed.java
+++ b/src/main/java/cairnline/standin/StandInFeed.java
@@ -43,7 +43,7 @@
     }
 
     /** Numbers of the last event that followers said they had, in the order in which they came. */
-    public synchronized List<String> asked() {
+    public synchronized List<String> subscriptions() {
         return List.copyOf(asked);
     }
 
--- a/src/test/java/cairnline/program/DiscoveryTest.java
+++ b/src/test/java/cairnline/program/DiscoveryTest.java
@@ -153,7 +153,7 @@
         assertEquals(Map.of("e1", State.ALIVE), last(snapshots(0)));
         manager.start();
         served(client(manager), 10);
-        assertEquals(List.of(), feed.asked());
+        assertEquals(List.of(), feed.subscriptions());
         assertTrue(manager.logged().contains("event=snapshot.restored engines=1"), manager.logged());
         assertEquals(0, manager.end());
     }
@@ -176,9 +176,9 @@
         feed.publish(true, List.of(new StandInFeed.EngineEntry("e1", drained.address(), "terminating", 0),
                 new StandInFeed.EngineEntry("e3", stays.address(), "in_service", 0)));
         feed.goOnline();
-        until(() -> !feed.asked().isEmpty());
+        until(() -> !feed.subscriptions().isEmpty());
         long toldAt = System.nanoTime() / 1_000;
-        assertEquals("SUB 0", feed.asked().get(0));
+        assertEquals("SUB 0", feed.subscriptions().get(0));
         while (System.nanoTime() / 1_000 < toldAt + 2 * SECOND) {
             served(client, 1);
         }
@@ -224,7 +224,7 @@
         served(client, 5);
         feed.publish(true, List.of(new StandInFeed.EngineEntry("new", next.address(), "in_service", System.currentTimeMillis())));
         feed.goOnline();
-        until(() -> !feed.asked().isEmpty());
+        until(() -> !feed.subscriptions().isEmpty());
         served(client, 5);
         assertEquals(0, manager.end());
         assertEquals(Map.of("new", State.TOLD), last(snapshots(0)));
@@ -262,7 +262,7 @@
         assertTrue(manager.logged().contains("event=snapshot.unused"), manager.logged());
         feed.publish(true, List.of());
         feed.goOnline();
-        until(() -> feed.asked().contains("SUB 3"));
+        until(() -> feed.subscriptions().contains("SUB 3"));
     }
 
     @Test
