--- a/src/main/java/cairnline/standin/StandInFleet.java
+++ b/src/main/java/cairnline/standin/StandInFleet.java
@@ -107,7 +107,7 @@
     }
 
     /** How many engines have had a query. */
-    public int asked() throws InterruptedException {
+    public int queriedEngineCount() throws InterruptedException {
         int[] count = {0};
         onThread(() -> count[0] = (int) places.stream().filter(place -> place.asked > 0).count());
         return count[0];
--- a/src/test/java/cairnline/program/FleetSizeTest.java
+++ b/src/test/java/cairnline/program/FleetSizeTest.java
@@ -47,7 +47,7 @@
             try (StandInClient client = new StandInClient(manager.port(), answers::add)) {
                 serve(client, 300);
                 int threads = threads(manager);
-                assertTrue(fleet.asked() > 32, "one manager's queries reach " + fleet.asked() + " engines");
+                assertTrue(fleet.queriedEngineCount() > 32, "one manager's queries reach " + fleet.queriedEngineCount() + " engines");
 
                 fleet.kill(0, THIRD);
                 ask(client);
@@ -91,7 +91,7 @@
                 try (StandInClient client = new StandInClient(manager.port(), answers::add)) {
                     serve(client, BATCH);
                 }
-                assertEquals(1, fleet.asked(), "only the engine that is left was asked");
+                assertEquals(1, fleet.queriedEngineCount(), "only the engine that is left was asked");
                 assertEquals(0, manager.end(), manager.logged());
             }
         }
