--- a/src/main/java/cairnline/standin/StandInFleet.java
+++ b/src/main/java/cairnline/standin/StandInFleet.java
@@ -100,7 +100,7 @@
     }
 
     /** How many connections are open to all engines together. */
-    public int connections() throws InterruptedException {
+    public int connectionCount() throws InterruptedException {
         int[] count = {0};
         onThread(() -> count[0] = places.stream().mapToInt(place -> place.connected.size()).sum());
         return count[0];
--- a/src/test/java/cairnline/program/FleetSizeTest.java
+++ b/src/test/java/cairnline/program/FleetSizeTest.java
@@ -60,7 +60,7 @@
                 ask(client);
                 regain(client);
 
-                assertTrue(fleet.connections() < SOCKETS, fleet.connections() + " connections to engines");
+                assertTrue(fleet.connectionCount() < SOCKETS, fleet.connectionCount() + " connections to engines");
                 assertTrue(threads(manager) <= 2 * threads, threads(manager) + " threads, after the first round " + threads);
                 long most = status(manager, "VmHWM");
                 assertTrue(most < MEMORY_KB, most + " kB");
