--- a/src/main/java/cairnline/standin/StandInFleet.java
+++ b/src/main/java/cairnline/standin/StandInFleet.java
@@ -86,7 +86,7 @@
     }
 
     /** They come back at the same ports. */
-    public void revive(int from, int to) throws InterruptedException {
+    public void restart(int from, int to) throws InterruptedException {
         onThread(() -> {
             for (Place place : places.subList(from, to)) {
                 listen(place, open(place.port));
--- a/src/test/java/cairnline/program/FleetSizeTest.java
+++ b/src/test/java/cairnline/program/FleetSizeTest.java
@@ -53,7 +53,7 @@
                 ask(client);
                 feed.publish(false, hosts(fleet, 0, THIRD, "terminated"));
                 regain(client);
-                fleet.revive(0, THIRD);
+                fleet.restart(0, THIRD);
                 feed.publish(true, hosts(fleet, 0, ENGINES, "in_service"));
                 serve(client, 150);
                 fleet.resetNext(20);
