--- a/src/main/java/cairnline/standin/StandInFleet.java
+++ b/src/main/java/cairnline/standin/StandInFleet.java
@@ -95,7 +95,7 @@
     }
 
     /** The next so many queries are answered by a reset of their connection. */
-    public void resetNext(int queries) throws InterruptedException {
+    public void resetNextQueries(int queries) throws InterruptedException {
         onThread(() -> resets = queries);
     }
 
--- a/src/test/java/cairnline/program/FleetSizeTest.java
+++ b/src/test/java/cairnline/program/FleetSizeTest.java
@@ -56,7 +56,7 @@
                 fleet.restart(0, THIRD);
                 feed.publish(true, hosts(fleet, 0, ENGINES, "in_service"));
                 serve(client, 150);
-                fleet.resetNext(20);
+                fleet.resetNextQueries(20);
                 ask(client);
                 regain(client);
 
