--- a/src/main/java/cairnline/program/SyntheticWorkload.java
+++ b/src/main/java/cairnline/program/SyntheticWorkload.java
@@ -74,7 +74,7 @@
         }
         String call = String.format("%08x%08x", random.nextInt(), calls++);
         String key = kind.type.equals("load") ? String.format("%016x", random.nextInt(1_000)) : null;
-        free.ask(kind.type, call, key, kind.ttlMs, kind.workMs * scale);
+        free.send(kind.type, call, key, kind.ttlMs, kind.workMs * scale);
     }
 
     private synchronized void take(StandInClient.Answer answer) {
--- a/src/main/java/cairnline/standin/StandInClient.java
+++ b/src/main/java/cairnline/standin/StandInClient.java
@@ -43,7 +43,7 @@
     }
 
     /** Asks; {@code key} is null for a class without one. */
-    public synchronized void ask(String type, String call, String key, long ttlMs, double workMs) throws IOException {
+    public synchronized void send(String type, String call, String key, long ttlMs, double workMs) throws IOException {
         Map<String, String> fields = new LinkedHashMap<>();
         fields.put("op", type);
         fields.put("call", call);
--- a/src/test/java/cairnline/program/DiscoveryTest.java
+++ b/src/test/java/cairnline/program/DiscoveryTest.java
@@ -124,7 +124,7 @@
     }
 
     private StandInClient.Answer ask(StandInClient client, String type) throws Exception {
-        client.ask(type, String.format("%016x", ++calls), type.equals("load") ? "00000000000000aa" : null, 7_000, 20);
+        client.send(type, String.format("%016x", ++calls), type.equals("load") ? "00000000000000aa" : null, 7_000, 20);
         StandInClient.Answer answer = answers.poll(LIMIT_S, TimeUnit.SECONDS);
         assertTrue(answer != null, "no answer");
         return answer;
--- a/src/test/java/cairnline/program/FleetSizeTest.java
+++ b/src/test/java/cairnline/program/FleetSizeTest.java
@@ -110,7 +110,7 @@
         for (int i = 0; i < BATCH; i++) {
             calls++;
             String type = calls % 10 == 0 ? "load" : calls % 10 == 5 ? "report" : "lookup";
-            client.ask(type, String.format("%016x", calls), type.equals("load") ? String.format("%016x", calls % 7) : null,
+            client.send(type, String.format("%016x", calls), type.equals("load") ? String.format("%016x", calls % 7) : null,
                     20_000, 20);
         }
         int served = 0;
