--- a/src/main/java/cairnline/program/ManagerProcess.java
+++ b/src/main/java/cairnline/program/ManagerProcess.java
@@ -138,7 +138,7 @@
     }
 
     /** Ends it in order; gives its exit code. */
-    int end() throws InterruptedException {
+    int stop() throws InterruptedException {
         process.destroy();
         if (!process.waitFor(END_S, TimeUnit.SECONDS)) {
             kill();
--- a/src/main/java/cairnline/program/TryCommand.java
+++ b/src/main/java/cairnline/program/TryCommand.java
@@ -47,7 +47,7 @@
             System.out.print(mix.report());
             System.out.printf("worth served in time: %.0f%% of what was asked for%n", 100 * mix.worth());
             mix.close();
-            return manager.end();
+            return manager.stop();
         } finally {
             remove(folder);
         }
--- a/src/test/java/cairnline/program/DiscoveryTest.java
+++ b/src/test/java/cairnline/program/DiscoveryTest.java
@@ -149,13 +149,13 @@
         StandInRespEngine one = engine();
         ManagerProcess manager = manager(kept("e1", one));
         served(client(manager), 10);
-        assertEquals(0, manager.end());
+        assertEquals(0, manager.stop());
         assertEquals(Map.of("e1", State.ALIVE), last(snapshots(0)));
         manager.start();
         served(client(manager), 10);
         assertEquals(List.of(), feed.subscriptions());
         assertTrue(manager.logged().contains("event=snapshot.restored engines=1"), manager.logged());
-        assertEquals(0, manager.end());
+        assertEquals(0, manager.stop());
     }
 
     /** The first number asked of a feed is 0 whatever was kept; what drained and ended meanwhile gets nothing after 1 s. */
@@ -211,7 +211,7 @@
         served(client, 30);
         assertEquals(30, real.received().size());
         until(() -> silent.connects() > 0 && foreign.connects() > 0);
-        assertEquals(0, manager.end());
+        assertEquals(0, manager.stop());
         assertEquals(Map.of("gone", State.ILL, "silent", State.ILL, "foreign", State.MISTAKEN, "real", State.ALIVE),
                 last(snapshots(0)));
     }
@@ -226,7 +226,7 @@
         feed.goOnline();
         until(() -> !feed.subscriptions().isEmpty());
         served(client, 5);
-        assertEquals(0, manager.end());
+        assertEquals(0, manager.stop());
         assertEquals(Map.of("new", State.TOLD), last(snapshots(0)));
     }
 
--- a/src/test/java/cairnline/program/FleetSizeTest.java
+++ b/src/test/java/cairnline/program/FleetSizeTest.java
@@ -65,7 +65,7 @@
                 long most = status(manager, "VmHWM");
                 assertTrue(most < MEMORY_KB, most + " kB");
             }
-            assertEquals(0, manager.end(), manager.logged());
+            assertEquals(0, manager.stop(), manager.logged());
             assertEquals("", manager.logged().lines().filter(line -> line.contains("Exception") || line.contains("Error"))
                     .findFirst().orElse(""));
         }
@@ -92,7 +92,7 @@
                     serve(client, BATCH);
                 }
                 assertEquals(1, fleet.queriedEngineCount(), "only the engine that is left was asked");
-                assertEquals(0, manager.end(), manager.logged());
+                assertEquals(0, manager.stop(), manager.logged());
             }
         }
     }
--- a/src/test/java/cairnline/program/MemoryTest.java
+++ b/src/test/java/cairnline/program/MemoryTest.java
@@ -121,7 +121,7 @@
             for (Socket socket : silent) {
                 socket.close();
             }
-            assertEquals(0, manager.end(), manager.logged());
+            assertEquals(0, manager.stop(), manager.logged());
         }
     }
 
@@ -143,7 +143,7 @@
             for (Socket socket : silent) {
                 socket.close();
             }
-            assertEquals(0, manager.end(), manager.logged());
+            assertEquals(0, manager.stop(), manager.logged());
         }
     }
 }
