--- a/src/main/java/cairnline/program/ManagerProcess.java
+++ b/src/main/java/cairnline/program/ManagerProcess.java
@@ -89,7 +89,7 @@
     }
 
     /** What it logged so far. */
-    String logged() throws IOException {
+    String readLog() throws IOException {
         return Files.exists(log()) ? Files.readString(log()) : "";
     }
 
--- a/src/test/java/cairnline/program/CrowdTest.java
+++ b/src/test/java/cairnline/program/CrowdTest.java
@@ -56,7 +56,7 @@
                 serve(client);
                 awaitDescriptors(manager, descriptors + ENGINE_CONNECTIONS);
             }
-            assertEquals(0, manager.stop(), manager.logged());
+            assertEquals(0, manager.stop(), manager.readLog());
         }
     }
 
--- a/src/test/java/cairnline/program/DiscoveryTest.java
+++ b/src/test/java/cairnline/program/DiscoveryTest.java
@@ -154,7 +154,7 @@
         manager.start();
         served(client(manager), 10);
         assertEquals(List.of(), feed.subscriptions());
-        assertTrue(manager.logged().contains("event=snapshot.restored engines=1"), manager.logged());
+        assertTrue(manager.readLog().contains("event=snapshot.restored engines=1"), manager.readLog());
         assertEquals(0, manager.stop());
     }
 
@@ -259,7 +259,7 @@
                 + new StandInFeed.EngineEntry("e2", known.address(), "in_service", 0).json() + "]}}]}", kept("e1", onDisk));
         served(client(manager), 20);
         assertEquals(List.of(), onDisk.received());
-        assertTrue(manager.logged().contains("event=snapshot.unused"), manager.logged());
+        assertTrue(manager.readLog().contains("event=snapshot.unused"), manager.readLog());
         feed.publish(true, List.of());
         feed.goOnline();
         until(() -> feed.subscriptions().contains("SUB 3"));
@@ -272,8 +272,8 @@
         Files.write(snapshots(0).resolve("list-0000000000000009.snap"), new byte[] {'C', 'A', 'I', 'R', 7});
         ManagerProcess manager = manager(kept("e1", one));
         served(client(manager), 5);
-        assertEquals(1, manager.logged().lines().filter(line -> line.contains("event=snapshot.skipped")).count(),
-                manager.logged());
+        assertEquals(1, manager.readLog().lines().filter(line -> line.contains("event=snapshot.skipped")).count(),
+                manager.readLog());
     }
 
     /** The engine counts what it is sent in each window; all managers start in the same moment and know the same. */
--- a/src/test/java/cairnline/program/FleetSizeTest.java
+++ b/src/test/java/cairnline/program/FleetSizeTest.java
@@ -65,8 +65,8 @@
                 long most = status(manager, "VmHWM");
                 assertTrue(most < MEMORY_KB, most + " kB");
             }
-            assertEquals(0, manager.stop(), manager.logged());
-            assertEquals("", manager.logged().lines().filter(line -> line.contains("Exception") || line.contains("Error"))
+            assertEquals(0, manager.stop(), manager.readLog());
+            assertEquals("", manager.readLog().lines().filter(line -> line.contains("Exception") || line.contains("Error"))
                     .findFirst().orElse(""));
         }
     }
@@ -92,7 +92,7 @@
                     serve(client, BATCH);
                 }
                 assertEquals(1, fleet.queriedEngineCount(), "only the engine that is left was asked");
-                assertEquals(0, manager.stop(), manager.logged());
+                assertEquals(0, manager.stop(), manager.readLog());
             }
         }
     }
--- a/src/test/java/cairnline/program/MemoryTest.java
+++ b/src/test/java/cairnline/program/MemoryTest.java
@@ -96,10 +96,10 @@
         try (FrameClient client = new FrameClient(manager.port())) {
             for (int i = 0; i < REQUESTS; i++) {
                 int code = client.ask("lookup", null, 7_000).code.get(LIMIT_S, TimeUnit.SECONDS);
-                assertTrue(code != ClientFrames.CODE_FAILED, manager.logged());
+                assertTrue(code != ClientFrames.CODE_FAILED, manager.readLog());
             }
         }
-        assertEquals("", String.join("\n", manager.logged().lines().filter(line -> line.contains("OutOfMemory")).toList()));
+        assertEquals("", String.join("\n", manager.readLog().lines().filter(line -> line.contains("OutOfMemory")).toList()));
     }
 
     @Test
@@ -121,7 +121,7 @@
             for (Socket socket : silent) {
                 socket.close();
             }
-            assertEquals(0, manager.stop(), manager.logged());
+            assertEquals(0, manager.stop(), manager.readLog());
         }
     }
 
@@ -143,7 +143,7 @@
             for (Socket socket : silent) {
                 socket.close();
             }
-            assertEquals(0, manager.stop(), manager.logged());
+            assertEquals(0, manager.stop(), manager.readLog());
         }
     }
 }
--- a/src/test/java/cairnline/program/SoakRun.java
+++ b/src/test/java/cairnline/program/SoakRun.java
@@ -173,7 +173,7 @@
         for (ManagerProcess manager : managers) {
             int code = manager.awaitExit(EXIT_S);
             if (code != 0 && code != 137) {
-                broken.add("a workload manager ended with " + code + ": " + manager.logged());
+                broken.add("a workload manager ended with " + code + ": " + manager.readLog());
             }
         }
         for (Thread thread : threads) {
--- a/src/test/java/cairnline/program/TerminationTest.java
+++ b/src/test/java/cairnline/program/TerminationTest.java
@@ -60,7 +60,7 @@
             manager.killAfter(EARLIEST_KILL_MS);
             assertNotEquals(ClientFrames.CODE_SERVED, load.code.get(LIMIT_S, TimeUnit.SECONDS));
             assertNotEquals(ClientFrames.CODE_SERVED, next.code.get(LIMIT_S, TimeUnit.SECONDS));
-            assertEquals(0, manager.awaitExit(LIMIT_S), manager.logged());
+            assertEquals(0, manager.awaitExit(LIMIT_S), manager.readLog());
         }
     }
 
@@ -69,7 +69,7 @@
         try (StandInFleet fleet = new StandInFleet(1); StandInFeed feed = new StandInFeed();
                 ManagerProcess manager = start(feed, fleet.address(0))) {
             assertAnsweredUntilKilled(manager, EARLIEST_KILL_MS);
-            assertEquals(0, manager.awaitExit(LIMIT_S), manager.logged());
+            assertEquals(0, manager.awaitExit(LIMIT_S), manager.readLog());
         }
     }
 
