--- a/src/main/java/cairnline/program/ManagerProcess.java
+++ b/src/main/java/cairnline/program/ManagerProcess.java
@@ -103,7 +103,7 @@
     }
 
     /** Changes the text of its configuration, which counts from its next start or SIGHUP. */
-    void configure(UnaryOperator<String> change) throws IOException {
+    void editConfiguration(UnaryOperator<String> change) throws IOException {
         Files.writeString(config, change.apply(Files.readString(config)));
     }
 
--- a/src/test/java/cairnline/program/TerminationTest.java
+++ b/src/test/java/cairnline/program/TerminationTest.java
@@ -40,7 +40,7 @@
     private ManagerProcess start(StandInFeed feed, String engine, UnaryOperator<String> change) throws Exception {
         feed.publish(true, List.of(new StandInFeed.EngineEntry("s-1", engine, "in_service", 0)));
         ManagerProcess manager = new ManagerProcess(folder, 0, 1, feed.address(), null);
-        manager.configure(change);
+        manager.editConfiguration(change);
         manager.start();
         ReadinessCheck.await(manager.port(), LIMIT_S);
         return manager;
