--- a/src/main/java/cairnline/program/Configuration.java
+++ b/src/main/java/cairnline/program/Configuration.java
@@ -133,7 +133,7 @@
     }
 
     /** An address as {@code host:port}. */
-    static InetSocketAddress address(String key, String text) {
+    static InetSocketAddress parseAddress(String key, String text) {
         int colon = text.lastIndexOf(':');
         try {
             int port = Integer.parseInt(text.substring(colon + 1));
--- a/src/main/java/cairnline/program/ODataConfiguration.java
+++ b/src/main/java/cairnline/program/ODataConfiguration.java
@@ -34,9 +34,9 @@
     /** The classes must be among those of the settings. */
     static ODataConfiguration of(Map<String, Object> root, Settings settings) {
         try {
-            InetSocketAddress listen = Configuration.address("odata.listen", text(root, "odata.listen", "listen"));
+            InetSocketAddress listen = Configuration.parseAddress("odata.listen", text(root, "odata.listen", "listen"));
             InetSocketAddress feed = root.containsKey("feed")
-                    ? Configuration.address("odata.feed", text(root, "odata.feed", "feed")) : null;
+                    ? Configuration.parseAddress("odata.feed", text(root, "odata.feed", "feed")) : null;
             return new ODataConfiguration(listen, feed, engines(root, settings), model(root, settings));
         } catch (ProtocolException e) {
             throw new ConfigurationException("odata", e.getMessage());
@@ -49,7 +49,7 @@
         for (Object each : Json.asList(root.getOrDefault("engines", List.of()), "engines")) {
             Map<String, Object> engine = Json.asObject(each, "engines");
             String address = text(engine, "odata.engines.address", "address");
-            Configuration.address("odata.engines.address", address);
+            Configuration.parseAddress("odata.engines.address", address);
             String kind = engine.containsKey("kind") ? text(engine, "odata.engines.kind", "kind") : usualKind;
             if (!settings.kinds().containsKey(kind)) {
                 throw new ConfigurationException("odata.engines.kind", "is none of the settings' shapes: " + kind);
--- a/src/main/java/cairnline/program/RehearsalOptions.java
+++ b/src/main/java/cairnline/program/RehearsalOptions.java
@@ -74,7 +74,7 @@
         if (!told.containsKey(option)) {
             return null;
         }
-        InetSocketAddress address = Configuration.address(option, told.get(option));
+        InetSocketAddress address = Configuration.parseAddress(option, told.get(option));
         InetAddress ip = address.getAddress();
         if (ip == null || !ip.isLoopbackAddress()) {
             throw new ConfigurationException(option, "is no loopback address: " + told.get(option));
--- a/src/main/java/cairnline/program/Server.java
+++ b/src/main/java/cairnline/program/Server.java
@@ -166,7 +166,7 @@
     /** An address that can't be read is one that can't be reached; the other engines of its event still count. */
     static InetSocketAddress reach(String address, Events log) {
         try {
-            return Configuration.address("dial", address);
+            return Configuration.parseAddress("dial", address);
         } catch (ConfigurationException e) {
             log.warn("engine.unreadable", e.getMessage());
             return InetSocketAddress.createUnresolved("unreadable", 0);
--- a/src/test/java/cairnline/program/FirstAskTest.java
+++ b/src/test/java/cairnline/program/FirstAskTest.java
@@ -96,6 +96,6 @@
     void itIsReadyThoughTheFeedCannotBeReached() throws Exception {
         StandInFeed hidden = new StandInFeed();
         hidden.goOffline();
-        untilReady(follow(Configuration.address("feed", hidden.address()), configuration.limits()));
+        untilReady(follow(Configuration.parseAddress("feed", hidden.address()), configuration.limits()));
     }
 }
--- a/src/test/java/cairnline/program/ODataProtocolFixture.java
+++ b/src/test/java/cairnline/program/ODataProtocolFixture.java
@@ -46,7 +46,7 @@
 
     @Override
     public EngineLink link(ListedEngine engine, Core core, Configuration configuration, Clock clock) {
-        return new HttpLink(Configuration.address("dial", engine.address()), core, configuration.limits(),
+        return new HttpLink(Configuration.parseAddress("dial", engine.address()), core, configuration.limits(),
                 loop.get(configuration, clock), connections);
     }
 
--- a/src/test/java/cairnline/program/PlatformProtocolFixture.java
+++ b/src/test/java/cairnline/program/PlatformProtocolFixture.java
@@ -46,7 +46,7 @@
 
     @Override
     public EngineLink link(ListedEngine engine, Core core, Configuration configuration, Clock clock) {
-        return new RespLink(engine.id(), Configuration.address("dial", engine.address()), core, configuration.limits(),
+        return new RespLink(engine.id(), Configuration.parseAddress("dial", engine.address()), core, configuration.limits(),
                 loop.get(configuration, clock), connections, Events.NONE);
     }
 
