--- a/src/main/java/cairnline/standin/StandInFeed.java
+++ b/src/main/java/cairnline/standin/StandInFeed.java
@@ -51,7 +51,7 @@
     public synchronized void publish(boolean whole, List<EngineEntry> hosts) {
         int number = events.size() + 1;
         events.add("{\"n\":" + number + ",\"members\":{\"seq\":" + number + ",\"whole\":" + whole + ",\"hosts\":["
-                + String.join(",", hosts.stream().map(Host::json).toList()) + "]}}");
+                + String.join(",", hosts.stream().map(EngineEntry::json).toList()) + "]}}");
         notifyAll();
     }
 
