--- a/src/main/java/cairnline/program/Configuration.java
+++ b/src/main/java/cairnline/program/Configuration.java
@@ -51,8 +51,8 @@
     private final Limits limits;
 
     private Configuration(Map<String, Object> root, String listenOverride) {
-        listen = address("listen", listenOverride != null ? listenOverride : text(root, "listen"));
-        feed = address("feed", text(root, "feed"));
+        listen = parseAddress("listen", listenOverride != null ? listenOverride : text(root, "listen"));
+        feed = parseAddress("feed", text(root, "feed"));
         seed = seed(root.get("seed"));
         Map<String, Object> held = object(root, "known");
         knownLast = whole(held, "known.n", "n", 0);
