--- a/example/DemoPlatform.java
+++ b/example/DemoPlatform.java
@@ -10,29 +10,29 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * A toy server for a first try: the control feed at 127.0.0.1:8500, one engine at 127.0.0.1:7101 that answers every
- * query with the same row, and with the word "ask" a client that sends one lookup to 127.0.0.1:7001.
+ * A demo platform for trying out cairnline: a control feed at 127.0.0.1:8500 and one engine at 127.0.0.1:7101 that answers
+ * every query with the same row. With the argument "ask" it is a client that sends one lookup to 127.0.0.1:7001 instead.
  */
 final class DemoPlatform {
-    private static final String LIST = "{\"n\":1,\"members\":{\"seq\":1,\"whole\":true,\"hosts\":[{\"host\":\"toy\","
+    private static final String ENGINE_LIST_EVENT = "{\"n\":1,\"members\":{\"seq\":1,\"whole\":true,\"hosts\":[{\"host\":\"toy\","
             + "\"dial\":\"127.0.0.1:7101\",\"site\":\"dc1\",\"class\":\"std16\",\"block\":0,\"health\":\"in_service\","
             + "\"share\":4,\"born_ms\":0}]}}\n";
 
     public static void main(String[] args) throws Exception {
         if (args.length > 0 && args[0].equals("ask")) {
-            ask();
+            sendLookup();
             return;
         }
-        serve(8500, DemoPlatform::feed);
-        serve(7101, DemoPlatform::engine);
+        listen(8500, DemoPlatform::serveFeed);
+        listen(7101, DemoPlatform::serveEngine);
         System.out.println("feed at 127.0.0.1:8500, engine at 127.0.0.1:7101");
     }
 
-    private interface Talk {
-        void with(Socket socket) throws Exception;
+    private interface ConnectionHandler {
+        void handle(Socket socket) throws Exception;
     }
 
-    private static void serve(int port, Talk talk) throws IOException {
+    private static void listen(int port, ConnectionHandler handler) throws IOException {
         ServerSocket server = new ServerSocket(port, 50, InetAddress.getByName("127.0.0.1"));
         new Thread(() -> {
             while (true) {
@@ -40,9 +40,9 @@
                     Socket socket = server.accept();
                     new Thread(() -> {
                         try (socket) {
-                            talk.with(socket);
+                            handler.handle(socket);
                         } catch (Exception e) {
-                            System.out.println("connection over: " + e.getMessage());
+                            System.out.println("connection closed: " + e.getMessage());
                         }
                     }).start();
                 } catch (IOException e) {
@@ -52,10 +52,10 @@
         }).start();
     }
 
-    private static void feed(Socket socket) throws Exception {
-        String asked = line(socket.getInputStream());
-        if (asked.equals("SUB 0")) {
-            socket.getOutputStream().write(LIST.getBytes(StandardCharsets.UTF_8));
+    private static void serveFeed(Socket socket) throws Exception {
+        String subscription = readLine(socket.getInputStream());
+        if (subscription.equals("SUB 0")) {
+            socket.getOutputStream().write(ENGINE_LIST_EVENT.getBytes(StandardCharsets.UTF_8));
         }
         while (true) {
             socket.getOutputStream().write("1\n".getBytes(StandardCharsets.UTF_8));
@@ -63,12 +63,12 @@
         }
     }
 
-    private static void engine(Socket socket) throws Exception {
+    private static void serveEngine(Socket socket) throws Exception {
         InputStream in = socket.getInputStream();
         while (true) {
-            String[] parts = new String[Integer.parseInt(line(in).substring(1))];
+            String[] parts = new String[Integer.parseInt(readLine(in).substring(1))];
             for (int i = 0; i < parts.length; i++) {
-                int size = Integer.parseInt(line(in).substring(1));
+                int size = Integer.parseInt(readLine(in).substring(1));
                 parts[i] = new String(in.readNBytes(size), StandardCharsets.UTF_8);
                 in.readNBytes(2);
             }
@@ -83,16 +83,16 @@
         }
     }
 
-    private static void ask() throws IOException {
+    private static void sendLookup() throws IOException {
         ByteArrayOutputStream payload = new ByteArrayOutputStream();
         DataOutputStream fields = new DataOutputStream(payload);
-        String[] all = {"op", "lookup", "call", "9b1f03aa5c7e2d41", "ttl", "3000", "work", "20.0", "heap", "8"};
-        fields.writeByte(all.length / 2);
-        for (int i = 0; i < all.length; i += 2) {
-            fields.writeByte(all[i].length());
-            fields.writeBytes(all[i]);
-            fields.writeShort(all[i + 1].length());
-            fields.writeBytes(all[i + 1]);
+        String[] namesAndValues = {"op", "lookup", "call", "9b1f03aa5c7e2d41", "ttl", "3000", "work", "20.0", "heap", "8"};
+        fields.writeByte(namesAndValues.length / 2);
+        for (int i = 0; i < namesAndValues.length; i += 2) {
+            fields.writeByte(namesAndValues[i].length());
+            fields.writeBytes(namesAndValues[i]);
+            fields.writeShort(namesAndValues[i + 1].length());
+            fields.writeBytes(namesAndValues[i + 1]);
         }
         fields.writeBytes("select title, author, year from sales_17.books");
         try (Socket socket = new Socket("127.0.0.1", 7001)) {
@@ -110,7 +110,7 @@
         }
     }
 
-    private static String line(InputStream in) throws IOException {
+    private static String readLine(InputStream in) throws IOException {
         StringBuilder line = new StringBuilder();
         for (int c = in.read(); c != '\n'; c = in.read()) {
             if (c < 0) {
--- a/src/main/java/cairnline/program/Configuration.java
+++ b/src/main/java/cairnline/program/Configuration.java
@@ -24,62 +24,67 @@
 import java.util.Map;
 import java.util.StringJoiner;
 
-/** All that the program is told from outside: read, checked and given defaults here and nowhere else. */
+/** The platform's configuration file: the only place where it is parsed, validated and completed with defaults. */
 final class Configuration {
-    private static final int SOCKETS_DEFAULT = 1024;
-    private static final int SOCKETS_LEAST = 64;
-    private static final int CLIENTS_SPARE = 24;
-    /** Archives of the program and its runtime, standard streams, listener, feed; seen are 20 to 25. */
-    private static final int OWN_SOCKETS = 32;
+    private static final int DEFAULT_SOCKETS = 1024;
+    private static final int MIN_SOCKETS = 64;
+    /** Client connections beyond a third of the sockets, for connections that are being closed. */
+    private static final int SPARE_CLIENT_SOCKETS = 24;
+    /** Descriptors of the program itself: jar and runtime archives, standard streams, listener, feed; it uses 20 to 25. */
+    private static final int PROGRAM_DESCRIPTORS = 32;
     private static final long NANOS_PER_MICRO = 1_000;
-    private static final long REST_SLACK_NANOS = 100_000_000;
-    /** After SIGTERM connections keep coming for up to 0.4 s, and requests on them for 0.2 s more. */
-    private static final long STOP_TAKING = 600_000;
-    /** SIGKILL comes no earlier than the longest deadline, of which so much counts at most, and this much more. */
-    private static final long KILL_DEADLINE_MOST = 3_000_000;
-    private static final long KILL_AFTER_DEADLINE = 700_000;
-    /** How long before the earliest SIGKILL the last answers are made, and how much of it connections have to end. */
-    private static final long KILL_MARGIN = 500_000;
-    private static final long STOP_DRAIN = 300_000;
+    private static final long KEY_REST_SLACK_NANOS = 100_000_000;
+    /** After SIGTERM clients may still connect for up to 0.4 s, and send requests on these connections for 0.2 s more. */
+    private static final long SHUTDOWN_ACCEPT_MICROS = 600_000;
+    /**
+     * SIGKILL follows SIGTERM no earlier than the longest request deadline (capped at the first value) plus the second
+     * value.
+     */
+    private static final long MAX_KILL_DEADLINE_MICROS = 3_000_000;
+    private static final long KILL_AFTER_DEADLINE_MICROS = 700_000;
+    /** Time between the last answers and the earliest SIGKILL; it includes the time that connections have to close. */
+    private static final long KILL_MARGIN_MICROS = 500_000;
+    private static final long SHUTDOWN_DRAIN_MICROS = 300_000;
 
     private final InetSocketAddress listen;
     private final InetSocketAddress feed;
     private final long seed;
-    private final long knownLast;
-    private final List<FeedEvent> known;
+    private final long lastInitialEventNumber;
+    private final List<FeedEvent> initialEvents;
     private final Settings settings;
     private final Limits limits;
 
     private Configuration(Map<String, Object> root, String listenOverride) {
         listen = parseAddress("listen", listenOverride != null ? listenOverride : text(root, "listen"));
         feed = parseAddress("feed", text(root, "feed"));
-        seed = seed(root.get("seed"));
-        Map<String, Object> held = object(root, "known");
-        knownLast = whole(held, "known.n", "n", 0);
-        known = events(held);
-        Fields fields = Fields.of(flat(object(root, "settings")));
-        settings = settings(fields);
+        seed = parseSeed(root.get("seed"));
+        Map<String, Object> known = object(root, "known");
+        lastInitialEventNumber = wholeNumber(known, "known.n", "n", 0);
+        initialEvents = parseEvents(known);
+        Fields fields = Fields.of(flatten(object(root, "settings")));
+        settings = readSettings(fields);
         long longestDeadline = settings.types().stream().mapToLong(type -> type.deadline()).max().orElse(0);
-        limits = limits(root, fields, longestDeadline / NANOS_PER_MICRO);
+        limits = deriveLimits(root, fields, longestDeadline / NANOS_PER_MICRO);
     }
 
-    /** Reads the file that the environment names. */
+    /** Reads the file named by {@code ROUTER_CONFIG}; {@code ROUTER_LISTEN} overrides its listen address. */
     static Configuration read(Map<String, String> environment) {
         String file = environment.get("ROUTER_CONFIG");
         if (file == null) {
-            throw new ConfigurationException("ROUTER_CONFIG", "the environment names no configuration file");
+            throw new ConfigurationException("ROUTER_CONFIG",
+                    "the environment variable is not set; it must name the configuration file");
         }
         try {
             return of(Files.readAllBytes(Path.of(file)), environment.get("ROUTER_LISTEN"));
         } catch (IOException | RuntimeException e) {
-            if (e instanceof ConfigurationException known) {
-                throw known;
+            if (e instanceof ConfigurationException reported) {
+                throw reported;
             }
-            throw new ConfigurationException("ROUTER_CONFIG", "can't read " + file + ": " + e.getMessage());
+            throw new ConfigurationException("ROUTER_CONFIG", "cannot read " + file + ": " + e.getMessage());
         }
     }
 
-    /** Reads a configuration; an address given beside it stands before its own. */
+    /** Parses a configuration; {@code listenOverride}, unless null, replaces its listen address. */
     static Configuration of(byte[] json, String listenOverride) {
         return new Configuration(Json.object(json), listenOverride);
     }
@@ -92,7 +97,7 @@
         return feed;
     }
 
-    /** Whether another one differs in what can't change while the program runs. */
+    /** Returns whether the other configuration differs in a value that cannot be changed at run time. */
     boolean needsRestart(Configuration other) {
         return !listen.equals(other.listen) || !settings.equals(other.settings) || !limits.equals(other.limits);
     }
@@ -101,12 +106,14 @@
         return seed;
     }
 
-    long knownLast() {
-        return knownLast;
+    /** Returns the number of the last feed event that the configuration contains; 0 if it contains none. */
+    long lastInitialEventNumber() {
+        return lastInitialEventNumber;
     }
 
-    List<FeedEvent> known() {
-        return known;
+    /** Returns the feed events that the configuration contains, in feed order. */
+    List<FeedEvent> initialEvents() {
+        return initialEvents;
     }
 
     Settings settings() {
@@ -117,22 +124,22 @@
         return limits;
     }
 
-    /** How long a client of each class waits at most, in microseconds. */
-    Map<String, Long> patience() {
-        Map<String, Long> patience = new HashMap<>();
-        settings.types().forEach(type -> patience.put(type.name(), type.deadline() / NANOS_PER_MICRO));
-        return patience;
+    /** Returns the client timeout of each class in microseconds. */
+    Map<String, Long> clientTimeouts() {
+        Map<String, Long> timeouts = new HashMap<>();
+        settings.types().forEach(type -> timeouts.put(type.name(), type.deadline() / NANOS_PER_MICRO));
+        return timeouts;
     }
 
-    /** What the requests of each class must carry. */
-    Map<String, ClassRules> classes() {
+    /** Returns which fields the requests of each class must carry. */
+    Map<String, ClassRules> requestClasses() {
         Map<String, ClassRules> classes = new HashMap<>();
         settings.types().forEach(type ->
                 classes.put(type.name(), new ClassRules(type.effect() == Effect.KEYED, type.serial())));
         return classes;
     }
 
-    /** An address as {@code host:port}. */
+    /** Parses an address of the form {@code host:port}; {@code key} names its setting in the error message. */
     static InetSocketAddress parseAddress(String key, String text) {
         int colon = text.lastIndexOf(':');
         try {
@@ -141,9 +148,9 @@
                 return new InetSocketAddress(text.substring(0, colon), port);
             }
         } catch (NumberFormatException e) {
-            // Told below, with all other addresses that can't be used.
+            // Reported below, like every other malformed address.
         }
-        throw new ConfigurationException(key, "is no address of the form host:port: " + text);
+        throw new ConfigurationException(key, "is not an address of the form host:port: " + text);
     }
 
     static String text(Map<String, Object> root, String key) {
@@ -161,10 +168,10 @@
         }
     }
 
-    private static long whole(Map<String, Object> object, String key, String member, long absent) {
+    private static long wholeNumber(Map<String, Object> object, String key, String member, long defaultValue) {
         Object value = object.get(member);
         if (value == null) {
-            return absent;
+            return defaultValue;
         }
         if (value instanceof Number number && number.doubleValue() >= 0
                 && number.doubleValue() == Math.rint(number.doubleValue())) {
@@ -173,7 +180,7 @@
         throw new ConfigurationException(key, "is not a whole number of at least 0");
     }
 
-    private static long seed(Object value) {
+    private static long parseSeed(Object value) {
         try {
             return Long.parseUnsignedLong(String.valueOf(value), 16);
         } catch (NumberFormatException e) {
@@ -181,10 +188,10 @@
         }
     }
 
-    private static List<FeedEvent> events(Map<String, Object> held) {
+    private static List<FeedEvent> parseEvents(Map<String, Object> known) {
         List<FeedEvent> events = new ArrayList<>();
         try {
-            for (Object event : Json.asList(held.getOrDefault("events", List.of()), "events")) {
+            for (Object event : Json.asList(known.getOrDefault("events", List.of()), "events")) {
                 events.add(FeedEvent.of(event));
             }
         } catch (ProtocolException | ClassCastException e) {
@@ -193,31 +200,34 @@
         return events;
     }
 
-    private static Settings settings(Fields fields) {
+    private static Settings readSettings(Fields fields) {
         try {
-            return rested(new SettingsReader(fields).read());
+            return withKeyRestSlack(new SettingsReader(fields).read());
         } catch (WireException | IllegalArgumentException e) {
             throw new ConfigurationException("settings", e.getMessage());
         }
     }
 
     /**
-     * A key rests longer here than the settings say: on sockets every time limit is longer by a slack, and an
-     * attempt that is given up a little early still counts as out until its client's time is up.
+     * Extends the time for which an ordering key stays blocked after an attempt of unknown outcome. On real sockets every
+     * time limit is overrun slightly, and an attempt that is given up early still counts as running until its client's
+     * deadline.
      */
-    private static Settings rested(Settings s) {
-        Rules r = s.rules();
-        if (r.keyRest() == 0) {
-            return s;
+    private static Settings withKeyRestSlack(Settings settings) {
+        Rules rules = settings.rules();
+        if (rules.keyRest() == 0) {
+            return settings;
         }
-        Rules rules = new Rules(r.drainGrace(), r.coldFrom(), r.warmWithin(), r.tipMultiple(), r.overloadFor(),
-                r.keyRest() + REST_SLACK_NANOS, r.spareAttempts(), r.extraPerRequest(), r.lookBack());
-        return new Settings(s.self(), s.fronts(), s.zone(), s.types(), s.tenants(), s.kinds(), s.permissions(), rules,
-                s.overShareWorth(), s.grantCap(), s.follow(), s.notePeriod(), s.marksRepeats(), s.probePrice());
+        Rules extended = new Rules(rules.drainGrace(), rules.coldFrom(), rules.warmWithin(), rules.tipMultiple(),
+                rules.overloadFor(), rules.keyRest() + KEY_REST_SLACK_NANOS, rules.spareAttempts(), rules.extraPerRequest(),
+                rules.lookBack());
+        return new Settings(settings.self(), settings.fronts(), settings.zone(), settings.types(), settings.tenants(),
+                settings.kinds(), settings.permissions(), extended, settings.overShareWorth(), settings.grantCap(),
+                settings.follow(), settings.notePeriod(), settings.marksRepeats(), settings.probePrice());
     }
 
-    /** Nested values by their paths, as the simulator's first message words them. */
-    private static Map<String, String> flat(Map<String, Object> settings) {
+    /** Maps nested values to dotted paths, the form in which the simulator's first message carries them. */
+    private static Map<String, String> flatten(Map<String, Object> settings) {
         Map<String, String> flat = new LinkedHashMap<>();
         settings.forEach((name, value) -> flatten(name, value, flat));
         return flat;
@@ -233,51 +243,54 @@
             }
         } else if (value instanceof List<?> list) {
             StringJoiner joined = new StringJoiner(",");
-            list.forEach(item -> joined.add(word(item)));
+            list.forEach(item -> joined.add(plainText(item)));
             flat.put(path, joined.toString());
         } else if (value != null) {
-            flat.put(path, word(value));
+            flat.put(path, plainText(value));
         }
     }
 
-    private static String word(Object value) {
+    private static String plainText(Object value) {
         return value instanceof BigDecimal number ? number.toPlainString() : String.valueOf(value);
     }
 
-    /** The limits where nothing is told. */
+    /** Returns the limits that apply without a configuration. */
     static Limits defaultLimits() {
-        return limits(Map.of(), Fields.of(Map.of()), KILL_DEADLINE_MOST);
+        return deriveLimits(Map.of(), Fields.of(Map.of()), MAX_KILL_DEADLINE_MICROS);
     }
 
-    /** Room for clients: a third of the sockets is theirs to hold, and some may be about to go. */
-    private static int clients(int sockets) {
-        return sockets / 3 + CLIENTS_SPARE;
+    /** Returns the maximum number of client connections: a third of the sockets, plus some that are being closed. */
+    private static int clientConnections(int sockets) {
+        return sockets / 3 + SPARE_CLIENT_SOCKETS;
     }
 
-    /** The rest of the sockets, but for those of the program itself: its files, the feed, a client turned away. */
-    private static int engines(int sockets) {
-        return Math.max(SOCKETS_LEAST / 4, sockets - clients(sockets) - OWN_SOCKETS);
+    /** Returns the sockets left for engines after those of clients and of the program: files, feed, a rejected client. */
+    private static int engineConnections(int sockets) {
+        return Math.max(MIN_SOCKETS / 4, sockets - clientConnections(sockets) - PROGRAM_DESCRIPTORS);
     }
 
-    /** Engines tell of each request in every period; where they don't, silence says nothing. */
-    private static long silence(Fields fields) {
+    /**
+     * Returns after how long a silent engine connection is closed. Engines send a status update for each running request
+     * in every period; where they send none, silence says nothing about them and the limit is an hour.
+     */
+    private static long engineSilenceTimeout(Fields fields) {
         long period = fields.whole("specifics.notePeriodNs", 0) / NANOS_PER_MICRO;
         return period == 0 ? Clock.ofMillis(3_600_000) : period * 5 / 2 + Clock.ofMillis(200);
     }
 
-    /** When after SIGTERM the last answers are made; all times are microseconds. */
-    private static long stopAnswering(long longestDeadline) {
-        long earliestKill = Math.min(longestDeadline, KILL_DEADLINE_MOST) + KILL_AFTER_DEADLINE;
-        return Math.max(STOP_TAKING, earliestKill - KILL_MARGIN);
+    /** Returns how long after SIGTERM open requests are answered as refused or failed; all times are microseconds. */
+    private static long shutdownAnswerDelay(long longestDeadline) {
+        long earliestKill = Math.min(longestDeadline, MAX_KILL_DEADLINE_MICROS) + KILL_AFTER_DEADLINE_MICROS;
+        return Math.max(SHUTDOWN_ACCEPT_MICROS, earliestKill - KILL_MARGIN_MICROS);
     }
 
-    private static Limits limits(Map<String, Object> root, Fields fields, long longestDeadline) {
-        Map<String, Object> told = root.containsKey("limits") ? object(root, "limits") : Map.of();
-        int sockets = (int) whole(told, "limits.sockets", "sockets", SOCKETS_DEFAULT);
-        if (sockets < SOCKETS_LEAST) {
-            throw new ConfigurationException("limits.sockets", "is less than " + SOCKETS_LEAST);
+    private static Limits deriveLimits(Map<String, Object> root, Fields fields, long longestDeadline) {
+        Map<String, Object> configured = root.containsKey("limits") ? object(root, "limits") : Map.of();
+        int sockets = (int) wholeNumber(configured, "limits.sockets", "sockets", DEFAULT_SOCKETS);
+        if (sockets < MIN_SOCKETS) {
+            throw new ConfigurationException("limits.sockets", "is less than " + MIN_SOCKETS);
         }
-        long connect = fields.whole("permissions.connectTimeoutNs", 250_000_000) / NANOS_PER_MICRO;
+        long connectTimeout = fields.whole("permissions.connectTimeoutNs", 250_000_000) / NANOS_PER_MICRO;
         long idleClose = fields.whole("permissions.idleCloseNs", 30_000_000_000L) / NANOS_PER_MICRO;
         long drainGrace = fields.whole("safety.drainGraceNs", 1_000_000_000) / NANOS_PER_MICRO;
         long answerMargin = Clock.ofMillis(50);
@@ -285,15 +298,16 @@
                 (int) Math.min(4_096, fields.whole("permissions.maxOpen", 4_096)), answerMargin, drainGrace / 2,
                 Clock.ofMillis(1_000));
         Limits.Connections connections = new Limits.Connections(256, Clock.ofMillis(500), 65_536, Clock.ofMillis(20_000),
-                connect);
-        Limits.Clients clients = new Limits.Clients(clients(sockets), 32, 8 << 20, Clock.ofMillis(4_500),
+                connectTimeout);
+        Limits.Clients clients = new Limits.Clients(clientConnections(sockets), 32, 8 << 20, Clock.ofMillis(4_500),
                 Clock.ofMillis(250), Clock.ofMillis(2_000), Clock.ofMillis(2_500), 262_144);
-        Limits.Engines engines = new Limits.Engines(idleClose * 2 / 3, 8, engines(sockets),
-                (int) fields.whole("permissions.streamsPerConn", 100), 4, silence(fields), Clock.ofMillis(500), 8_192, 6_000,
-                64, 48_000);
+        Limits.Engines engines = new Limits.Engines(idleClose * 2 / 3, 8, engineConnections(sockets),
+                (int) fields.whole("permissions.streamsPerConn", 100), 4, engineSilenceTimeout(fields), Clock.ofMillis(500),
+                8_192, 6_000, 64, 48_000);
         Limits.Feed feed = new Limits.Feed(Clock.ofMillis(1_000), Clock.ofMillis(200), Clock.ofMillis(2_300),
                 Clock.ofMillis(250), 4 << 20);
-        Limits.Shutdown shutdown = new Limits.Shutdown(STOP_TAKING, stopAnswering(longestDeadline), STOP_DRAIN);
+        Limits.Shutdown shutdown = new Limits.Shutdown(SHUTDOWN_ACCEPT_MICROS, shutdownAnswerDelay(longestDeadline),
+                SHUTDOWN_DRAIN_MICROS);
         Limits.Http http = new Limits.Http(24, 16_384, 1 << 20, 64, 100);
         return new Limits(routing, connections, clients, engines, feed, shutdown, http);
     }
--- a/src/main/java/cairnline/program/ConfigurationException.java
+++ b/src/main/java/cairnline/program/ConfigurationException.java
@@ -1,6 +1,6 @@
 package cairnline.program;
 
-/** A configuration that can't be used; the message names the faulty key. */
+/** Thrown when a configuration is invalid; the message starts with the name of the offending key. */
 final class ConfigurationException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/cairnline/program/ListCommand.java
+++ b/src/main/java/cairnline/program/ListCommand.java
@@ -13,29 +13,30 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** Looks into kept lists. */
+/** Validates and prints snapshots, the files of the stored engine list. */
 @Command(name = "list", mixinStandardHelpOptions = true, synopsisSubcommandLabel = "(check | show)",
-        description = "Checks or shows a kept list of engines.")
+        description = "Checks or shows a snapshot of the stored engine list.")
 final class ListCommand {
-    private static final long MICROS = 1_000_000;
+    private static final long MICROS_PER_SECOND = 1_000_000;
 
     @Command(name = "check", mixinStandardHelpOptions = true,
-            description = "Tells whether a kept list can be used; exit code 2 if it can't.")
+            description = "Checks whether a snapshot of the engine list is usable; exits with 2 if it is not.")
     int check(@Parameters(paramLabel = "FILE") Path file) throws IOException {
         System.out.println(file + ": " + read(file).engines().size() + " engines");
         return 0;
     }
 
-    @Command(name = "show", mixinStandardHelpOptions = true, description = "Prints a kept list.")
+    @Command(name = "show", mixinStandardHelpOptions = true, description = "Prints a snapshot of the engine list.")
     int show(@Parameters(paramLabel = "FILE") Path file) throws IOException {
-        Snapshot kept = read(file);
-        System.out.println("saved " + time(kept.savedAt()) + ", " + kept.engines().size() + " engines");
+        Snapshot snapshot = read(file);
+        System.out.println("saved " + formatTime(snapshot.savedAt()) + ", " + snapshot.engines().size() + " engines");
         System.out.printf(Locale.ROOT, "%-24s %-22s %-10s %-10s %-11s %-25s %s%n", "id", "address", "zone", "kind",
                 "believed", "told", "alive");
-        for (Remembered each : kept.engines()) {
-            ListedEngine e = each.engine();
-            System.out.printf(Locale.ROOT, "%-24s %-22s %-10s %-10s %-11s %-25s %s%n", e.id(), e.address(), e.zone(),
-                    e.kind(), each.last().name().toLowerCase(Locale.ROOT), time(each.toldAt()), time(each.aliveAt()));
+        for (Remembered stored : snapshot.engines()) {
+            ListedEngine engine = stored.engine();
+            System.out.printf(Locale.ROOT, "%-24s %-22s %-10s %-10s %-11s %-25s %s%n", engine.id(), engine.address(),
+                    engine.zone(), engine.kind(), stored.last().name().toLowerCase(Locale.ROOT),
+                    formatTime(stored.toldAt()), formatTime(stored.aliveAt()));
         }
         return 0;
     }
@@ -49,8 +50,8 @@
         }
     }
 
-    private static String time(long micros) {
-        return micros == 0 ? "-" : Instant.ofEpochSecond(Math.floorDiv(micros, MICROS),
-                Math.floorMod(micros, MICROS) * 1_000).toString();
+    private static String formatTime(long epochMicros) {
+        return epochMicros == 0 ? "-" : Instant.ofEpochSecond(Math.floorDiv(epochMicros, MICROS_PER_SECOND),
+                Math.floorMod(epochMicros, MICROS_PER_SECOND) * 1_000).toString();
     }
 }
--- a/src/main/java/cairnline/program/Main.java
+++ b/src/main/java/cairnline/program/Main.java
@@ -7,19 +7,19 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/** Entry point. Exits with 0 if all went well, 1 on a failure, 2 on wrong usage, settings or configuration. */
+/** Entry point. Exits with 0 on success, 1 on a failure, 2 on invalid usage, settings or configuration. */
 @Command(name = "cairnline", mixinStandardHelpOptions = true, versionProvider = Main.Version.class,
-        description = "Decides which query engine runs what, and when.", synopsisSubcommandLabel = "COMMAND",
+        description = "Decides which query engine runs which query, and when.", synopsisSubcommandLabel = "COMMAND",
         subcommands = {ServeCommand.class, SimhostCommand.class, RehearseCommand.class, TryCommand.class,
             ListCommand.class, SettingsCommand.class})
 public final class Main implements Runnable {
-    private static final int FAILED = 1;
-    private static final int WRONG_USE = 2;
+    private static final int EXIT_FAILURE = 1;
+    private static final int EXIT_INVALID_USAGE = 2;
 
     @CommandLine.Spec
     private CommandLine.Model.CommandSpec spec;
 
-    /** The release, as the jar's manifest has it. */
+    /** Returns the version from the jar's manifest. */
     static final class Version implements CommandLine.IVersionProvider {
         @Override
         public String[] getVersion() {
@@ -28,50 +28,54 @@
         }
     }
 
-    /** Runs the command that the arguments name. */
+    /** Runs the command named by the arguments and exits with its code. */
     public static void main(String[] args) {
         System.exit(run(args));
     }
 
-    /** A word without options needs no parser: on half a core the library adds 0.3 s to a start that takes as long. */
+    /**
+     * Runs a command and returns its exit code. {@code serve} and {@code simhost} without options bypass picocli: on half
+     * a core it adds 0.3 s to a start that takes about as long without it.
+     */
     static int run(String... args) {
-        Callable<Integer> plain = args.length != 1 ? null : args[0].equals("serve") ? new ServeCommand()
+        Callable<Integer> command = args.length != 1 ? null : args[0].equals("serve") ? new ServeCommand()
                 : args[0].equals("simhost") ? new SimhostCommand() : null;
-        if (plain == null) {
-            return parsed(args);
+        if (command == null) {
+            return parseAndRun(args);
         }
         try {
-            return plain.call();
+            return command.call();
         } catch (Exception e) {
-            return code(e);
+            return reportAndGetExitCode(e);
         }
     }
 
-    private static int parsed(String[] args) {
-        return new CommandLine(new Main()).setExecutionExceptionHandler((e, command, parsed) -> code(e)).execute(args);
+    private static int parseAndRun(String[] args) {
+        return new CommandLine(new Main())
+                .setExecutionExceptionHandler((e, command, parsed) -> reportAndGetExitCode(e)).execute(args);
     }
 
     @Override
     public void run() {
-        throw new CommandLine.ParameterException(spec.commandLine(), "which command? See --help");
+        throw new CommandLine.ParameterException(spec.commandLine(), "missing command; see --help");
     }
 
-    private static int code(Exception e) {
+    private static int reportAndGetExitCode(Exception e) {
         if (e instanceof ConfigurationException) {
-            return leave(WRONG_USE, e.getMessage());
-        } else if (e instanceof SettingsException wrong) {
-            wrong.faults().forEach(fault -> leave(WRONG_USE, fault.toString()));
-            return WRONG_USE;
+            return reportError(EXIT_INVALID_USAGE, e.getMessage());
+        } else if (e instanceof SettingsException invalid) {
+            invalid.faults().forEach(problem -> reportError(EXIT_INVALID_USAGE, problem.toString()));
+            return EXIT_INVALID_USAGE;
         } else if (e instanceof WireException || e instanceof IOException) {
-            // An address that can't be had, say.
-            return leave(FAILED, e.getMessage());
+            // For example, the listen address is in use.
+            return reportError(EXIT_FAILURE, e.getMessage());
         }
         e.printStackTrace();
-        return FAILED;
+        return EXIT_FAILURE;
     }
 
-    private static int leave(int code, String message) {
+    private static int reportError(int exitCode, String message) {
         System.err.println("cairnline: " + message);
-        return code;
+        return exitCode;
     }
 }
--- a/src/main/java/cairnline/program/MeasureDiscovery.java
+++ b/src/main/java/cairnline/program/MeasureDiscovery.java
@@ -23,15 +23,16 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * What a start without the control feed costs, on stand-ins on loopback; bin/measure-discovery runs it, and
- * docs/membership.md holds what it printed. Half a core is a core shared with one process that never rests.
+ * Measures what a start without the control feed costs, with stand-ins on loopback. It is run by bin/measure-discovery;
+ * docs/membership.md records its output. "Half a core" is a core shared with one busy-looping process.
  */
 final class MeasureDiscovery {
-    private static final long SECOND = 1_000_000;
-    private static final int MANAGERS = 3;
-    private static final int ENGINES = 4;
-    private static final long LIMIT_S = 30;
-    private static final EngineModel.EngineParameters SHAPE = new EngineModel.EngineParameters(16, 0.31, 15 * SECOND, true, 4, 3 * SECOND / 2);
+    private static final long SECOND_MICROS = 1_000_000;
+    private static final int MANAGER_COUNT = 3;
+    private static final int ENGINE_COUNT = 4;
+    private static final long TIMEOUT_SECONDS = 30;
+    private static final EngineModel.EngineParameters ENGINE_PARAMETERS = new EngineModel.EngineParameters(16, 0.31,
+            15 * SECOND_MICROS, true, 4, 3 * SECOND_MICROS / 2);
 
     private final Path folder;
 
@@ -39,23 +40,26 @@
         this.folder = folder;
     }
 
-    /** Measures what the arguments name: snapshots, start, worth, cold; all of it, in some six minutes, without any. */
+    /**
+     * Runs the measurements named by the arguments: snapshots, start, worth, cold. Without arguments it runs all of them,
+     * which takes about six minutes.
+     */
     public static void main(String[] args) throws Exception {
-        MeasureDiscovery all = new MeasureDiscovery(Files.createTempDirectory("cairnline-measure"));
+        MeasureDiscovery measurement = new MeasureDiscovery(Files.createTempDirectory("cairnline-measure"));
         List<String> parts = args.length > 0 ? List.of(args) : List.of("snapshots", "start", "worth", "cold");
         for (String part : parts) {
             switch (part) {
-                case "snapshots" -> all.snapshots();
-                case "start" -> all.firstServed();
-                case "worth" -> all.worth();
-                case "cold" -> all.cold();
-                default -> throw new IllegalArgumentException("no such part: " + part);
+                case "snapshots" -> measurement.measureSnapshots();
+                case "start" -> measurement.measureStart();
+                case "worth" -> measurement.measureWorth();
+                case "cold" -> measurement.measureColdEngine();
+                default -> throw new IllegalArgumentException("unknown measurement: " + part);
             }
         }
         System.exit(0);
     }
 
-    private static void say(String format, Object... values) {
+    private static void print(String format, Object... values) {
         System.out.printf(Locale.ROOT, format + "%n", values);
     }
 
@@ -69,27 +73,27 @@
 
     // ---- Snapshots ----
 
-    private static List<ListedEngine> listed(int engines) {
-        List<ListedEngine> all = new ArrayList<>();
-        for (int i = 0; i < engines; i++) {
-            all.add(new ListedEngine("s-" + Integer.toHexString(0x10000000 + i), "10.1." + i / 250 + "." + i % 250
+    private static List<ListedEngine> listedEngines(int count) {
+        List<ListedEngine> engines = new ArrayList<>();
+        for (int i = 0; i < count; i++) {
+            engines.add(new ListedEngine("s-" + Integer.toHexString(0x10000000 + i), "10.1." + i / 250 + "." + i % 250
                     + ":7001", Listed.READY, "dc1", "std16", i % 4, 4, 0));
         }
-        return all;
+        return engines;
     }
 
-    /** The first of each is what a start pays: nothing is compiled yet. */
-    private void snapshots() throws IOException, SnapshotException {
+    /** The first sample of each series is the cost at program start, when no code has been compiled yet. */
+    private void measureSnapshots() throws IOException, SnapshotException {
         for (int engines : new int[] {10, 1_000, 10_000}) {
-            Membership membership = new Membership(TrustSettings.usual(15 * SECOND));
-            membership.told(1, true, listed(engines));
-            List<Double> taken = new ArrayList<>();
-            List<Double> written = new ArrayList<>();
-            List<Double> read = new ArrayList<>();
+            Membership membership = new Membership(TrustSettings.usual(15 * SECOND_MICROS));
+            membership.told(1, true, listedEngines(engines));
+            List<Double> viewMillis = new ArrayList<>();
+            List<Double> writeMillis = new ArrayList<>();
+            List<Double> readMillis = new ArrayList<>();
             for (int i = 0; i < 21; i++) {
                 long start = System.nanoTime();
                 View view = membership.view(i);
-                taken.add((System.nanoTime() - start) / 1e6);
+                viewMillis.add((System.nanoTime() - start) / 1e6);
                 start = System.nanoTime();
                 byte[] bytes = SnapshotCodec.encode(new Snapshot(1, view.remembered()));
                 Path file = folder.resolve("one.snap");
@@ -98,136 +102,142 @@
                     channel.write(java.nio.ByteBuffer.wrap(bytes));
                     channel.force(true);
                 }
-                written.add((System.nanoTime() - start) / 1e6);
+                writeMillis.add((System.nanoTime() - start) / 1e6);
                 start = System.nanoTime();
                 SnapshotCodec.decode(Files.readAllBytes(file));
-                read.add((System.nanoTime() - start) / 1e6);
+                readMillis.add((System.nanoTime() - start) / 1e6);
             }
-            say("snapshot of %5d engines: core's thread held %.3f ms (first %.3f), written and synced in %.1f ms"
-                    + " (first %.1f), read in %.1f ms (first %.1f)", engines, median(taken), taken.get(0),
-                    median(written), written.get(0), median(read), read.get(0));
+            print("snapshot of %5d engines: core's thread held %.3f ms (first %.3f), written and synced in %.1f ms"
+                    + " (first %.1f), read in %.1f ms (first %.1f)", engines, median(viewMillis), viewMillis.get(0),
+                    median(writeMillis), writeMillis.get(0), median(readMillis), readMillis.get(0));
         }
     }
 
     // ---- Starts ----
 
-    private Remembered kept(String id, String address) {
+    private Remembered storedEngine(String id, String address) {
         return new Remembered(new ListedEngine(id, address, Listed.READY, "dc1", "std16", 0, 4, 0), State.TOLD,
-                System.currentTimeMillis() * 1_000 - 10 * SECOND, 0);
+                System.currentTimeMillis() * 1_000 - 10 * SECOND_MICROS, 0);
     }
 
-    private ManagerProcess manager(String name, int self, String feed, List<StandInRespEngine> engines)
+    /** Prepares a manager whose snapshot folder holds {@code storedEngines}, or is empty if they are null. */
+    private ManagerProcess manager(String name, int frontIndex, String feedAddress, List<StandInRespEngine> storedEngines)
             throws IOException {
-        Path kept = Files.createDirectories(folder.resolve(name + "-kept-" + self));
-        if (engines != null) {
-            List<Remembered> all = new ArrayList<>();
-            for (StandInRespEngine each : engines) {
-                all.add(kept("e" + all.size(), each.address()));
+        Path snapshotFolder = Files.createDirectories(folder.resolve(name + "-snapshots-" + frontIndex));
+        if (storedEngines != null) {
+            List<Remembered> entries = new ArrayList<>();
+            for (StandInRespEngine engine : storedEngines) {
+                entries.add(storedEngine("e" + entries.size(), engine.address()));
             }
-            Files.write(kept.resolve("list-0000000000000001.snap"),
-                    SnapshotCodec.encode(new Snapshot(System.currentTimeMillis() * 1_000, all)));
+            Files.write(snapshotFolder.resolve("list-0000000000000001.snap"),
+                    SnapshotCodec.encode(new Snapshot(System.currentTimeMillis() * 1_000, entries)));
         }
-        return new ManagerProcess(folder.resolve(name + "-" + self), self, MANAGERS, feed,
-                "discovery: snapshot: dir: \"" + kept + "\"");
+        return new ManagerProcess(folder.resolve(name + "-" + frontIndex), frontIndex, MANAGER_COUNT, feedAddress,
+                "discovery: snapshot: dir: \"" + snapshotFolder + "\"");
     }
 
-    private static StandInRespEngine engine(boolean cold) throws IOException {
-        return new StandInRespEngine(0, StandInRespEngine.Behavior.ENGINE, SHAPE, cold, SyntheticWorkload.costs(1));
+    private static StandInRespEngine startEngine(boolean cold) throws IOException {
+        return new StandInRespEngine(0, StandInRespEngine.Behavior.ENGINE, ENGINE_PARAMETERS, cold,
+                SyntheticWorkload.costs(1));
     }
 
-    /** On one core that another process shares, so that half of it is left. */
-    private void firstServed() throws Exception {
-        List<Double> times = new ArrayList<>();
-        List<Double> whole = new ArrayList<>();
+    /** Measures the time from the start of the process to its first served answer, on a shared and on a whole core. */
+    private void measureStart() throws Exception {
+        List<Double> halfCoreSeconds = new ArrayList<>();
+        List<Double> wholeCoreSeconds = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
             boolean shared = i % 2 == 0;
-            Process busy = shared ? new ProcessBuilder("taskset", "-c", "0", "sh", "-c", "while :; do :; done").start()
-                    : null;
-            try (StandInRespEngine engine = engine(false); StandInFeed feed = hidden();
+            Process busyLoop = shared
+                    ? new ProcessBuilder("taskset", "-c", "0", "sh", "-c", "while :; do :; done").start() : null;
+            try (StandInRespEngine engine = startEngine(false); StandInFeed feed = offlineFeed();
                  ManagerProcess manager = manager("first" + i, 0, feed.address(), List.of(engine))) {
                 long start = System.nanoTime();
                 manager.start("taskset", "-c", "0");
-                ReadinessCheck.await(manager.port(), LIMIT_S);
-                SyntheticWorkload mix = new SyntheticWorkload(manager.port(), i, 1);
-                mix.send(20, 50);
-                mix.await(LIMIT_S);
-                (shared ? times : whole).add((mix.firstServed() - start) / 1e9);
-                mix.close();
+                ReadinessCheck.await(manager.port(), TIMEOUT_SECONDS);
+                SyntheticWorkload workload = new SyntheticWorkload(manager.port(), i, 1);
+                workload.send(20, 50);
+                workload.await(TIMEOUT_SECONDS);
+                (shared ? halfCoreSeconds : wholeCoreSeconds).add((workload.firstServedNanos() - start) / 1e9);
+                workload.close();
             } finally {
-                if (busy != null) {
-                    busy.destroyForcibly();
+                if (busyLoop != null) {
+                    busyLoop.destroyForcibly();
                 }
             }
         }
-        say("start to first served answer, feed down: %.2f s at half a core %s, %.2f s at a whole one (a lookup alone"
-                + " takes 0.31)", median(times), times.stream().map(t -> String.format(Locale.ROOT, "%.2f", t)).toList(),
-                median(whole));
+        print("start to first served answer, feed down: %.2f s at half a core %s, %.2f s at a whole one (a lookup alone"
+                + " takes 0.31)", median(halfCoreSeconds),
+                halfCoreSeconds.stream().map(t -> String.format(Locale.ROOT, "%.2f", t)).toList(),
+                median(wholeCoreSeconds));
     }
 
-    private static StandInFeed hidden() throws IOException {
+    private static StandInFeed offlineFeed() throws IOException {
         StandInFeed feed = new StandInFeed();
         feed.goOffline();
         return feed;
     }
 
-    private void worth() throws Exception {
+    private void measureWorth() throws Exception {
         for (int perSecond : new int[] {3, 6, 12}) {
-            double up = worth("up" + perSecond, perSecond, true);
-            double down = worth("down" + perSecond, perSecond, false);
-            say("first 10 s, %d managers of %d engines, %d requests/s each: worth served in time %.3f with the feed up,"
-                    + " %.3f without: ratio %.2f", MANAGERS, ENGINES, perSecond, up, down, down / up);
+            double feedUp = worthServed("up" + perSecond, perSecond, true);
+            double feedDown = worthServed("down" + perSecond, perSecond, false);
+            print("first 10 s, %d managers of %d engines, %d requests/s each: worth served in time %.3f with the feed up,"
+                    + " %.3f without: ratio %.2f", MANAGER_COUNT, ENGINE_COUNT, perSecond, feedUp, feedDown,
+                    feedDown / feedUp);
         }
     }
 
-    /** All managers start together; the mean of what they served of 10 s of requests. */
-    private double worth(String name, int perSecond, boolean up) throws Exception {
+    /** Starts all managers together and returns the mean share of the worth that they serve of 10 s of requests. */
+    private double worthServed(String name, int perSecond, boolean feedUp) throws Exception {
         List<StandInRespEngine> engines = new ArrayList<>();
-        for (int i = 0; i < ENGINES; i++) {
-            engines.add(engine(false));
+        for (int i = 0; i < ENGINE_COUNT; i++) {
+            engines.add(startEngine(false));
         }
         try (StandInFeed feed = new StandInFeed()) {
-            List<StandInFeed.EngineEntry> hosts = new ArrayList<>();
-            engines.forEach(e -> hosts.add(new StandInFeed.EngineEntry("e" + hosts.size(), e.address(), "in_service", 0)));
-            feed.publish(true, hosts);
-            if (!up) {
+            List<StandInFeed.EngineEntry> entries = new ArrayList<>();
+            engines.forEach(engine -> entries.add(
+                    new StandInFeed.EngineEntry("e" + entries.size(), engine.address(), "in_service", 0)));
+            feed.publish(true, entries);
+            if (!feedUp) {
                 feed.goOffline();
             }
-            return load(name, feed, up ? null : engines, perSecond);
+            return runWorkload(name, feed, feedUp ? null : engines, perSecond);
         } finally {
-            for (StandInRespEngine each : engines) {
-                each.close();
+            for (StandInRespEngine engine : engines) {
+                engine.close();
             }
         }
     }
 
-    private double load(String name, StandInFeed feed, List<StandInRespEngine> kept, int perSecond) throws Exception {
+    private double runWorkload(String name, StandInFeed feed, List<StandInRespEngine> storedEngines, int perSecond)
+            throws Exception {
         List<ManagerProcess> managers = new ArrayList<>();
-        List<SyntheticWorkload> mixes = new ArrayList<>();
+        List<SyntheticWorkload> workloads = new ArrayList<>();
         List<Thread> threads = new ArrayList<>();
-        for (int self = 0; self < MANAGERS; self++) {
-            managers.add(manager(name, self, feed.address(), kept));
-            managers.get(self).start();
+        for (int frontIndex = 0; frontIndex < MANAGER_COUNT; frontIndex++) {
+            managers.add(manager(name, frontIndex, feed.address(), storedEngines));
+            managers.get(frontIndex).start();
         }
         for (ManagerProcess manager : managers) {
-            ReadinessCheck.await(manager.port(), LIMIT_S);
-            SyntheticWorkload mix = new SyntheticWorkload(manager.port(), 100 + mixes.size(), 1);
-            mixes.add(mix);
+            ReadinessCheck.await(manager.port(), TIMEOUT_SECONDS);
+            SyntheticWorkload workload = new SyntheticWorkload(manager.port(), 100 + workloads.size(), 1);
+            workloads.add(workload);
             threads.add(new Thread(() -> {
                 try {
-                    mix.send(10 * perSecond, perSecond);
-                    mix.await(LIMIT_S);
+                    workload.send(10 * perSecond, perSecond);
+                    workload.await(TIMEOUT_SECONDS);
                 } catch (IOException | InterruptedException e) {
                     throw new IllegalStateException(e);
                 }
             }));
         }
         threads.forEach(Thread::start);
-        for (Thread each : threads) {
-            each.join();
+        for (Thread thread : threads) {
+            thread.join();
         }
-        double worth = mixes.stream().mapToDouble(SyntheticWorkload::worth).average().orElse(0);
-        for (int i = 0; i < MANAGERS; i++) {
-            mixes.get(i).close();
+        double worth = workloads.stream().mapToDouble(SyntheticWorkload::worthServedShare).average().orElse(0);
+        for (int i = 0; i < MANAGER_COUNT; i++) {
+            workloads.get(i).close();
             managers.get(i).close();
         }
         return worth;
@@ -235,20 +245,20 @@
 
     // ---- Cold engines ----
 
-    private void cold() throws Exception {
-        double[] highest = new double[3];
+    private void measureColdEngine() throws Exception {
+        double[] peakLoads = new double[3];
         int received = 0;
-        for (int i = 0; i < highest.length; i++) {
-            try (StandInRespEngine engine = engine(true); StandInFeed feed = hidden()) {
-                load("cold" + i, feed, List.of(engine), 20);
-                highest[i] = engine.highest();
+        for (int i = 0; i < peakLoads.length; i++) {
+            try (StandInRespEngine engine = startEngine(true); StandInFeed feed = offlineFeed()) {
+                runWorkload("cold" + i, feed, List.of(engine), 20);
+                peakLoads[i] = engine.peakColdLoad();
                 received += engine.received().size();
             }
             TimeUnit.MILLISECONDS.sleep(200);
         }
-        Arrays.sort(highest);
-        say("one cold engine, %d managers at 20 requests/s each, 3 runs: %d requests reached it; highest work in 1.5 s"
-                + " over what it can do then: %.2f to %.2f (it falls over at 4)", MANAGERS, received, highest[0],
-                highest[highest.length - 1]);
+        Arrays.sort(peakLoads);
+        print("one cold engine, %d managers at 20 requests/s each, 3 runs: %d requests reached it; highest work in 1.5 s"
+                + " over what it can do then: %.2f to %.2f (it falls over at 4)", MANAGER_COUNT, received, peakLoads[0],
+                peakLoads[peakLoads.length - 1]);
     }
 }
--- a/src/main/java/cairnline/program/ODataConfiguration.java
+++ b/src/main/java/cairnline/program/ODataConfiguration.java
@@ -16,89 +16,98 @@
 import java.util.Map;
 
 /**
- * The part of the configuration that turns the OData front on: where it listens, its engines (named here, or by a
- * control feed), and which classes its entity sets mean.
+ * Configuration of the OData front: its listen address, its engines (listed here or reported by a control feed), and the
+ * request classes of its entity sets.
+ *
+ * @param feed address of the control feed; null if the engines are listed here
  */
 record ODataConfiguration(InetSocketAddress listen, InetSocketAddress feed, List<ListedEngine> engines,
                           ODataModel model) {
-    private static final String NAME = "[A-Za-z_][A-Za-z0-9_]{0,127}";
+    private static final String IDENTIFIER_PATTERN = "[A-Za-z_][A-Za-z0-9_]{0,127}";
 
-    static ODataConfiguration of(byte[] json, Settings settings) {
+    static ODataConfiguration parse(byte[] json, Settings settings) {
         try {
-            return of(Json.object(json), settings);
+            return parse(Json.object(json), settings);
         } catch (ProtocolException e) {
             throw new ConfigurationException("odata", e.getMessage());
         }
     }
 
-    /** The classes must be among those of the settings. */
-    static ODataConfiguration of(Map<String, Object> root, Settings settings) {
+    /** Validates a configuration; the request classes and machine types that it names must occur in the settings. */
+    static ODataConfiguration parse(Map<String, Object> root, Settings settings) {
         try {
             InetSocketAddress listen = Configuration.parseAddress("odata.listen", text(root, "odata.listen", "listen"));
             InetSocketAddress feed = root.containsKey("feed")
                     ? Configuration.parseAddress("odata.feed", text(root, "odata.feed", "feed")) : null;
-            return new ODataConfiguration(listen, feed, engines(root, settings), model(root, settings));
+            return new ODataConfiguration(listen, feed, parseEngines(root, settings), parseModel(root, settings));
         } catch (ProtocolException e) {
             throw new ConfigurationException("odata", e.getMessage());
         }
     }
 
-    private static List<ListedEngine> engines(Map<String, Object> root, Settings settings) {
+    private static List<ListedEngine> parseEngines(Map<String, Object> root, Settings settings) {
         List<ListedEngine> engines = new ArrayList<>();
-        String usualKind = settings.kinds().keySet().stream().findFirst().orElse("");
-        for (Object each : Json.asList(root.getOrDefault("engines", List.of()), "engines")) {
-            Map<String, Object> engine = Json.asObject(each, "engines");
+        String defaultMachineType = settings.kinds().keySet().stream().findFirst().orElse("");
+        for (Object entry : Json.asList(root.getOrDefault("engines", List.of()), "engines")) {
+            Map<String, Object> engine = Json.asObject(entry, "engines");
             String address = text(engine, "odata.engines.address", "address");
             Configuration.parseAddress("odata.engines.address", address);
-            String kind = engine.containsKey("kind") ? text(engine, "odata.engines.kind", "kind") : usualKind;
-            if (!settings.kinds().containsKey(kind)) {
-                throw new ConfigurationException("odata.engines.kind", "is none of the settings' shapes: " + kind);
+            String machineType = engine.containsKey("kind") ? text(engine, "odata.engines.kind", "kind")
+                    : defaultMachineType;
+            if (!settings.kinds().containsKey(machineType)) {
+                throw new ConfigurationException("odata.engines.kind",
+                        "is not one of the machine types (shapes) in the settings: " + machineType);
             }
             engines.add(new ListedEngine(text(engine, "odata.engines.id", "id"), address, Listed.READY,
-                    settings.zone(), kind, 0, 1, 0));
+                    settings.zone(), machineType, 0, 1, 0));
         }
         return engines;
     }
 
-    private static ODataModel model(Map<String, Object> root, Settings settings) {
+    private static ODataModel parseModel(Map<String, Object> root, Settings settings) {
         Map<String, EntitySet> sets = new LinkedHashMap<>();
-        Map<String, Object> told = Json.asObject(root.get("sets"), "odata.sets");
-        told.forEach((name, value) -> sets.put(name, set(name, value, settings)));
+        Map<String, Object> configured = Json.asObject(root.get("sets"), "odata.sets");
+        configured.forEach((name, value) -> sets.put(name, parseEntitySet(name, value, settings)));
         if (sets.isEmpty()) {
-            throw new ConfigurationException("odata.sets", "names no entity set");
+            throw new ConfigurationException("odata.sets", "contains no entity set");
         }
         return new ODataModel(sets);
     }
 
-    private static EntitySet set(String name, Object value, Settings settings) {
-        String at = "odata.sets." + name;
-        if (!name.matches(NAME)) {
-            throw new ConfigurationException(at, "is no name of an entity set");
+    private static EntitySet parseEntitySet(String name, Object value, Settings settings) {
+        String path = "odata.sets." + name;
+        if (!name.matches(IDENTIFIER_PATTERN)) {
+            throw new ConfigurationException(path, "is not a valid entity set name");
         }
-        Map<String, Object> set = Json.asObject(value, at);
-        String key = set.containsKey("key") ? text(set, at + ".key", "key") : "ID";
-        if (!key.matches(NAME)) {
-            throw new ConfigurationException(at + ".key", "is no name of a property");
+        Map<String, Object> set = Json.asObject(value, path);
+        String key = set.containsKey("key") ? text(set, path + ".key", "key") : "ID";
+        if (!key.matches(IDENTIFIER_PATTERN)) {
+            throw new ConfigurationException(path + ".key", "is not a valid property name");
         }
-        String keyType = set.containsKey("keyType") ? text(set, at + ".keyType", "keyType") : "Edm.Int64";
+        String keyType = set.containsKey("keyType") ? text(set, path + ".keyType", "keyType") : "Edm.Int64";
         if (!keyType.matches("Edm\\.[A-Za-z0-9]+")) {
-            throw new ConfigurationException(at + ".keyType", "is no primitive type: " + keyType);
+            throw new ConfigurationException(path + ".keyType", "is not a primitive type: " + keyType);
         }
-        return new EntitySet(name, type(set, at, "read", false, settings), type(set, at, "aggregate", false, settings),
-                type(set, at, "write", true, settings), key, keyType, (int) Json.number(set, "tables", -1));
+        return new EntitySet(name, requestClass(set, path, "read", false, settings),
+                requestClass(set, path, "aggregate", false, settings), requestClass(set, path, "write", true, settings), key,
+                keyType, (int) Json.number(set, "tables", -1));
     }
 
-    /** A class of the settings; reads must be safe to repeat, and writes must be dropped when repeated. */
-    private static String type(Map<String, Object> set, String at, String member, boolean write, Settings settings) {
+    /**
+     * Returns the request class that an entity set names for an operation; null if it names none. Reads need a class that
+     * is safe to retry, writes one whose idempotency key makes engines ignore repeats.
+     */
+    private static String requestClass(Map<String, Object> set, String path, String member, boolean write,
+            Settings settings) {
         if (!set.containsKey(member)) {
             return null;
         }
-        String name = text(set, at + "." + member, member);
+        String name = text(set, path + "." + member, member);
         Type type = settings.types().stream().filter(t -> t.name().equals(name)).findFirst().orElseThrow(() ->
-                new ConfigurationException(at + "." + member, "is none of the settings' classes: " + name));
+                new ConfigurationException(path + "." + member, "is not one of the request classes in the settings: " + name));
         if (type.effect() != (write ? Effect.KEYED : Effect.SAFE)) {
-            throw new ConfigurationException(at + "." + member,
-                    write ? "is no keyed class: " + name : "is no class that is safe to repeat: " + name);
+            throw new ConfigurationException(path + "." + member, write ? "is not a class with an idempotency key: " + name
+                    : "is not a class that is safe to retry: " + name);
         }
         return name;
     }
--- a/src/main/java/cairnline/program/ODataServer.java
+++ b/src/main/java/cairnline/program/ODataServer.java
@@ -13,61 +13,65 @@
 import cairnline.transport.PooledLink;
 import java.io.IOException;
 
-/** The OData front with a core and engines of its own: engines that speak OData can't run what the platform sends. */
+/**
+ * The OData front with a separate dispatcher and separate engines, since engines that speak OData cannot run the platform's
+ * queries.
+ */
 final class ODataServer {
-    private final Core core;
-    private final EngineList list;
+    private final Core dispatcher;
+    private final EngineList listUpdates;
     private final ODataFront front;
     private final Listener listener;
-    private final long drainMost;
-    private final FeedClient feed;
+    private final long drainMicros;
+    private final FeedClient feedClient;
 
     ODataServer(Configuration configuration, ODataConfiguration odata, EventLoop loop, Events log) throws IOException {
         var clock = loop.clock();
         var limits = configuration.limits();
-        drainMost = limits.shutdown().draining();
+        drainMicros = limits.shutdown().draining();
         ConnectionBudget<PooledLink.Connection> connections =
                 new ConnectionBudget<>(limits.engines().connections(), limits.engines().idle());
-        // OData has no words for a load or for notes: their absence must not count as silence.
-        core = new Core(configuration.settings().withoutReports(), configuration.seed(), limits, clock,
+        // OData carries neither load reports nor status updates; their absence must not count as a silent engine.
+        dispatcher = new Core(configuration.settings().withoutReports(), configuration.seed(), limits, clock,
                 line -> log.warn("module", line),
-                (engine, owner) -> new HttpLink(Server.reach(engine.address(), log), owner, limits, loop, connections));
-        list = new EngineList(core, limits, clock);
+                (engine, owner) -> new HttpLink(Server.resolveOrUnreachable(engine.address(), log), owner, limits, loop, connections));
+        listUpdates = new EngineList(dispatcher, limits, clock);
         listener = new Listener(odata.listen(), limits.clients().connections() / 2, limits, loop, log);
-        front = new ODataFront(listener, core, odata.model(), configuration.patience(), limits, log);
-        feed = odata.feed() == null ? null : new FeedClient(odata.feed(), list, limits, clock, new WallClock(clock), log);
+        front = new ODataFront(listener, dispatcher, odata.model(), configuration.clientTimeouts(), limits, log);
+        feedClient = odata.feed() == null ? null
+                : new FeedClient(odata.feed(), listUpdates, limits, clock, new WallClock(clock), log);
         if (!odata.engines().isEmpty()) {
-            core.listed(true, odata.engines());
+            dispatcher.listed(true, odata.engines());
         }
     }
 
-    /** Takes up the feed or the engines that its file names now. */
-    void follow(ODataConfiguration odata) {
-        if (feed != null && odata.feed() != null) {
-            feed.follow(odata.feed());
+    /** Applies the feed address or the engines of a reloaded configuration. */
+    void applyConfiguration(ODataConfiguration odata) {
+        if (feedClient != null && odata.feed() != null) {
+            feedClient.follow(odata.feed());
         } else if (!odata.engines().isEmpty()) {
-            core.listed(true, odata.engines());
+            dispatcher.listed(true, odata.engines());
         }
     }
 
     void start() {
-        core.start();
-        list.start();
+        dispatcher.start();
+        listUpdates.start();
         front.start();
-        if (feed != null) {
-            feed.start();
+        if (feedClient != null) {
+            feedClient.start();
         }
     }
 
-    /** Ends as the platform's front does; {@code done} runs when all that was taken is answered. */
+    /** Starts the shutdown; {@code done} runs when all accepted requests are answered. */
     void stop(Runnable done) {
         front.stopping();
-        core.stopping(done);
+        dispatcher.stopping(done);
     }
 
-    /** Ends its connections in order. */
+    /** Closes the client connections gracefully within the configured drain period. */
     void drain() {
-        front.drain(drainMost);
+        front.drain(drainMicros);
     }
 
     int port() {
--- a/src/main/java/cairnline/program/ReadinessCheck.java
+++ b/src/main/java/cairnline/program/ReadinessCheck.java
@@ -7,29 +7,29 @@
 import java.net.Socket;
 import java.util.concurrent.TimeUnit;
 
-/** Asks a workload manager whether it is ready, as the platform's front does. */
+/** Polls a workload manager for readiness with the platform's readiness request. */
 final class ReadinessCheck {
-    private static final int PAUSE_MS = 10;
-    private static final int HEAD = 9;
+    private static final int POLL_INTERVAL_MILLIS = 10;
+    private static final int FRAME_HEADER_BYTES = 9;
 
     private ReadinessCheck() { }
 
-    /** Returns once it is; fails if it is not by then. */
-    static void await(int port, long seconds) throws IOException, InterruptedException {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(seconds);
-        while (!is(port)) {
-            if (System.nanoTime() > end) {
-                throw new IOException("the workload manager at port " + port + " is not ready after " + seconds + " s");
+    /** Returns once the manager is ready; throws IOException after the timeout. */
+    static void await(int port, long timeoutSeconds) throws IOException, InterruptedException {
+        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(timeoutSeconds);
+        while (!isReady(port)) {
+            if (System.nanoTime() > deadline) {
+                throw new IOException("the workload manager at port " + port + " is not ready after " + timeoutSeconds + " s");
             }
-            TimeUnit.MILLISECONDS.sleep(PAUSE_MS);
+            TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MILLIS);
         }
     }
 
-    private static boolean is(int port) {
+    private static boolean isReady(int port) {
         try (Socket socket = new Socket(InetAddress.getByName("127.0.0.1"), port)) {
             socket.getOutputStream().write(ClientFrames.frame(ClientFrames.READY_QUESTION, 1, new byte[] {0}));
             DataInputStream in = new DataInputStream(socket.getInputStream());
-            in.skipNBytes(HEAD);
+            in.skipNBytes(FRAME_HEADER_BYTES);
             return in.read() == ClientFrames.CODE_SERVED;
         } catch (IOException e) {
             return false;
--- a/src/main/java/cairnline/program/Rehearsal.java
+++ b/src/main/java/cairnline/program/Rehearsal.java
@@ -23,126 +23,126 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
 
-/** Sends the requests of a recording at the times recorded, and reports what became of them. */
+/** Replays the requests of a recording with their recorded timing and reports their outcomes by class. */
 final class Rehearsal {
     private static final long NANOS_PER_MILLI = 1_000_000;
-    private static final int NAMED = 10;
-    private static final int MOST_BODY = 16 << 20;
+    private static final int MAX_REPORTED_PROBLEMS = 10;
+    private static final int MAX_BODY_BYTES = 16 << 20;
 
     private final RehearsalOptions options;
     private final PrintStream out;
     private final Map<String, Tally> tallies = new TreeMap<>();
-    private final List<String> bad = new ArrayList<>();
-    private final List<String> brokenRules = new ArrayList<>();
-    private final ThreadLocal<HttpCaller> callers;
-    private final List<HttpCaller> opened = new ArrayList<>();
-    private final LongSupplier millis;
-    private long badCount;
-    private long writesLeftOut;
-    private long heldBack;
+    private final List<String> unusableEntries = new ArrayList<>();
+    private final List<String> ruleViolations = new ArrayList<>();
+    private final ThreadLocal<HttpCaller> httpClients;
+    private final List<HttpCaller> createdClients = new ArrayList<>();
+    private final LongSupplier clockMillis;
+    private long unusableCount;
+    private long skippedWrites;
+    private long delayedRequests;
 
-    /** What became of the requests of one class. */
+    /** Outcome counts of one class. */
     private static final class Tally {
-        long asked;
+        long requested;
         long served;
         long refused;
         long failed;
         long late;
-        long broken;
+        long ruleViolations;
     }
 
     Rehearsal(RehearsalOptions options, PrintStream out) {
         this.options = options;
         this.out = out;
-        this.millis = () -> System.nanoTime() / NANOS_PER_MILLI;
-        this.callers = ThreadLocal.withInitial(() -> {
-            HttpCaller caller = new HttpCaller(options.to(), (int) options.patience(), MOST_BODY);
-            synchronized (opened) {
-                opened.add(caller);
+        this.clockMillis = () -> System.nanoTime() / NANOS_PER_MILLI;
+        this.httpClients = ThreadLocal.withInitial(() -> {
+            HttpCaller client = new HttpCaller(options.target(), (int) options.timeoutMillis(), MAX_BODY_BYTES);
+            synchronized (createdClients) {
+                createdClients.add(client);
             }
-            return caller;
+            return client;
         });
     }
 
-    /** Plays the recording to its end or its bounds, and prints the report. */
+    /** Replays the recording until it ends or a limit of the options is reached, and prints the report. */
     void run() throws IOException, InterruptedException {
         ExecutorService workers = Executors.newFixedThreadPool(options.connections());
-        Semaphore free = new Semaphore(options.connections());
-        try (Recording recording = open()) {
-            send(recording, workers, free);
+        Semaphore freeConnections = new Semaphore(options.connections());
+        try (Recording recording = openRecording()) {
+            replay(recording, workers, freeConnections);
         } finally {
             workers.shutdown();
-            workers.awaitTermination(2 * options.patience(), TimeUnit.MILLISECONDS);
-            opened.forEach(HttpCaller::close);
+            workers.awaitTermination(2 * options.timeoutMillis(), TimeUnit.MILLISECONDS);
+            createdClients.forEach(HttpCaller::close);
         }
-        report();
+        printReport();
     }
 
-    private Recording open() throws IOException {
+    private Recording openRecording() throws IOException {
         if (options.har() != null) {
             try {
                 return new HarFile(new BufferedInputStream(Files.newInputStream(options.har())));
             } catch (ProtocolException e) {
                 throw new ConfigurationException("--har", options.har() + ": " + e.getMessage());
             } catch (IOException e) {
-                throw new ConfigurationException("--har", "can't read " + e.getMessage());
+                throw new ConfigurationException("--har", "cannot read " + e.getMessage());
             }
         }
         try {
             return new AccessLog(Files.newBufferedReader(options.accessLog(), StandardCharsets.UTF_8));
         } catch (IOException e) {
-            throw new ConfigurationException("--access-log", "can't read " + e.getMessage());
+            throw new ConfigurationException("--access-log", "cannot read " + e.getMessage());
         }
     }
 
-    private void send(Recording recording, ExecutorService workers, Semaphore free)
+    private void replay(Recording recording, ExecutorService workers, Semaphore freeConnections)
             throws IOException, InterruptedException {
-        long start = millis.getAsLong();
-        long end = start + options.duration();
-        long first = Long.MIN_VALUE;
+        long start = clockMillis.getAsLong();
+        long end = start + options.durationMillis();
+        long firstRecordedAt = Long.MIN_VALUE;
         long sent = 0;
-        while (sent < options.most()) {
-            RecordedRequest recorded = next(recording);
+        while (sent < options.maxRequests()) {
+            RecordedRequest recorded = nextUsable(recording);
             if (recorded == null) {
                 return;
             }
-            if (recorded.writes() && !options.writes()) {
-                writesLeftOut++;
+            if (recorded.writes() && !options.sendWrites()) {
+                skippedWrites++;
                 continue;
             }
-            first = first == Long.MIN_VALUE ? recorded.at() : first;
-            long due = start + (long) (Math.max(0, recorded.at() - first) / options.speed());
-            if (due > end) {
+            firstRecordedAt = firstRecordedAt == Long.MIN_VALUE ? recorded.at() : firstRecordedAt;
+            long sendAt = start + (long) (Math.max(0, recorded.at() - firstRecordedAt) / options.speed());
+            if (sendAt > end) {
                 return;
             }
-            pause(due);
-            if (!free.tryAcquire()) {
-                heldBack++;
-                free.acquire();
+            sleepUntil(sendAt);
+            if (!freeConnections.tryAcquire()) {
+                delayedRequests++;
+                freeConnections.acquire();
             }
             sent++;
             workers.execute(() -> {
                 try {
-                    ask(recorded);
+                    send(recorded);
                 } finally {
-                    free.release();
+                    freeConnections.release();
                 }
             });
         }
     }
 
-    /** The next request that can be used; what can't is counted, and the first few are named. */
-    private RecordedRequest next(Recording recording) throws IOException {
+    /** Returns the next usable request; counts unusable entries and keeps the first few for the report. */
+    private RecordedRequest nextUsable(Recording recording) throws IOException {
         while (true) {
             try {
                 return recording.next();
             } catch (ProtocolException e) {
-                badCount++;
-                if (bad.size() < NAMED) {
-                    bad.add(recording.place() + ": " + e.getMessage());
+                unusableCount++;
+                if (unusableEntries.size() < MAX_REPORTED_PROBLEMS) {
+                    unusableEntries.add(recording.place() + ": " + e.getMessage());
                 }
             } catch (MalformedInputException e) {
-                throw new ConfigurationException("--access-log", recording.place() + " and on: not UTF-8 text");
+                throw new ConfigurationException("--access-log", recording.place() + " or later: invalid UTF-8");
             } catch (IOException e) {
                 throw new ConfigurationException(options.har() != null ? "--har" : "--access-log",
                         "after " + recording.place() + ": " + e.getMessage());
@@ -150,83 +150,84 @@
         }
     }
 
-    private void pause(long due) throws InterruptedException {
-        for (long left = due - millis.getAsLong(); left > 0; left = due - millis.getAsLong()) {
-            Thread.sleep(left);
+    private void sleepUntil(long wakeAtMillis) throws InterruptedException {
+        for (long remaining = wakeAtMillis - clockMillis.getAsLong(); remaining > 0;
+                remaining = wakeAtMillis - clockMillis.getAsLong()) {
+            Thread.sleep(remaining);
         }
     }
 
-    private void ask(RecordedRequest recorded) {
+    private void send(RecordedRequest recorded) {
         String target = recorded.request().target();
-        HttpMessage request = !options.root().isEmpty() && target.startsWith(options.root())
-                ? HttpMessage.request(recorded.request().method(), rooted(target), recorded.request().headers(),
+        HttpMessage request = !options.stripPrefix().isEmpty() && target.startsWith(options.stripPrefix())
+                ? HttpMessage.request(recorded.request().method(), withoutPrefix(target), recorded.request().headers(),
                         recorded.request().body())
                 : recorded.request();
-        long start = millis.getAsLong();
+        long start = clockMillis.getAsLong();
         HttpMessage answer = null;
-        String broken = null;
+        String violation = null;
         try {
-            answer = callers.get().call(request);
+            answer = httpClients.get().call(request);
         } catch (IOException | ProtocolException e) {
-            broken = "no one whole answer: " + e.getMessage();
+            violation = "not exactly one complete answer: " + e.getMessage();
         }
-        long took = millis.getAsLong() - start;
+        long latencyMillis = clockMillis.getAsLong() - start;
         if (answer != null && answer.status() == 503 && answer.header("retry-after").isEmpty()) {
-            broken = "refused without Retry-After";
-        } else if (answer != null && took > options.patience()) {
-            broken = "answered after " + took + " ms";
+            violation = "refused without Retry-After";
+        } else if (answer != null && latencyMillis > options.timeoutMillis()) {
+            violation = "answered after " + latencyMillis + " ms";
         }
-        count(request, answer, took, broken);
+        countOutcome(request, answer, latencyMillis, violation);
     }
 
-    private String rooted(String target) {
-        String rest = target.substring(options.root().length());
-        return rest.startsWith("/") ? rest : "/" + rest;
+    private String withoutPrefix(String target) {
+        String path = target.substring(options.stripPrefix().length());
+        return path.startsWith("/") ? path : "/" + path;
     }
 
-    private synchronized void count(HttpMessage request, HttpMessage answer, long took, String broken) {
-        Tally tally = tallies.computeIfAbsent(type(request), name -> new Tally());
-        tally.asked++;
+    private synchronized void countOutcome(HttpMessage request, HttpMessage answer, long latencyMillis, String violation) {
+        Tally tally = tallies.computeIfAbsent(requestClass(request), name -> new Tally());
+        tally.requested++;
         if (answer != null && answer.status() == 503) {
             tally.refused++;
         } else if (answer == null || answer.status() >= 400) {
             tally.failed++;
         } else {
             tally.served++;
-            tally.late += took > options.wanted() ? 1 : 0;
+            tally.late += latencyMillis > options.latencyTargetMillis() ? 1 : 0;
         }
-        if (broken != null) {
-            tally.broken++;
-            if (brokenRules.size() < NAMED) {
-                brokenRules.add(request.method() + " " + request.target() + ": " + broken);
+        if (violation != null) {
+            tally.ruleViolations++;
+            if (ruleViolations.size() < MAX_REPORTED_PROBLEMS) {
+                ruleViolations.add(request.method() + " " + request.target() + ": " + violation);
             }
         }
     }
 
-    /** The class that the daemon's OData file gives to a request; without that file, whether it reads or writes. */
-    private String type(HttpMessage request) {
+    /** Returns the class that the daemon's OData file gives the request; "read" or "write" without that file. */
+    private String requestClass(HttpMessage request) {
         boolean read = request.method().equals("GET");
         String path = request.target().substring(1).split("[(/?]", 2)[0];
-        Map<String, Object> set = options.sets().getOrDefault(path, Map.of());
+        Map<String, Object> set = options.entitySets().getOrDefault(path, Map.of());
         String member = !read ? "write" : request.target().contains("$apply=") && set.containsKey("aggregate")
                 ? "aggregate" : "read";
         return String.valueOf(set.getOrDefault(member, read ? "read" : "write"));
     }
 
-    private void report() {
+    private void printReport() {
         out.printf("%-12s %8s %8s %8s %8s %8s %8s%n", "class", "asked", "served", "refused", "failed", "late", "broken");
-        tallies.forEach((name, t) -> out.printf("%-12s %8d %8d %8d %8d %8d %8d%n", name, t.asked, t.served, t.refused,
-                t.failed, t.late, t.broken));
-        if (writesLeftOut > 0) {
-            out.println(writesLeftOut + " writes left out; --writes sends them");
+        tallies.forEach((name, t) -> out.printf("%-12s %8d %8d %8d %8d %8d %8d%n", name, t.requested, t.served,
+                t.refused, t.failed, t.late, t.ruleViolations));
+        if (skippedWrites > 0) {
+            out.println(skippedWrites + " writes left out; --writes sends them");
         }
-        if (heldBack > 0) {
-            out.println(heldBack + " sent later than recorded: all connections were in use");
+        if (delayedRequests > 0) {
+            out.println(delayedRequests + " sent later than recorded: all connections were in use");
         }
-        if (badCount > 0) {
-            out.println(badCount + " of the recording could not be used:");
-            bad.forEach(each -> out.println("  " + each));
+        if (unusableCount > 0) {
+            out.println(unusableCount + " of the recording could not be used:");
+            unusableEntries.forEach(entry -> out.println("  " + entry));
         }
-        brokenRules.forEach(each -> out.println("rule broken: " + each));
+        ruleViolations.forEach(violation -> out.println("rule broken: " + violation));
     }
 }
--- a/src/main/java/cairnline/program/RehearseCommand.java
+++ b/src/main/java/cairnline/program/RehearseCommand.java
@@ -12,8 +12,8 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Unmatched;
 
-/** The kit that plays recordings; its options are read and checked by {@link RehearsalOptions}. */
-@Command(name = "rehearse", description = "Plays recordings as load; without options it prints them.")
+/** Replays recorded traffic, or runs a stand-in engine; {@link RehearsalOptions} parses and validates its options. */
+@Command(name = "rehearse", description = "Replays recorded requests as load; without options it prints its usage.")
 final class RehearseCommand implements Callable<Integer> {
     @Unmatched
     private List<String> options = new ArrayList<>();
@@ -21,17 +21,17 @@
     @Override
     public Integer call() throws Exception {
         options.add(0, "rehearse");
-        RehearsalOptions read = RehearsalOptions.of(options.toArray(String[]::new));
-        if (read.standIn() == null) {
-            new Rehearsal(read, System.out).run();
+        RehearsalOptions parsed = RehearsalOptions.parse(options.toArray(String[]::new));
+        if (parsed.standIn() == null) {
+            new Rehearsal(parsed, System.out).run();
             return 0;
         }
         Limits limits = Configuration.defaultLimits();
         EventLoop loop = new EventLoop("stand-in", limits.routing().stackBytes(), new Clock());
         loop.start();
-        Listener listener = new Listener(read.standIn(), limits.clients().connections(), limits, loop, Events.NONE);
+        Listener listener = new Listener(parsed.standIn(), limits.clients().connections(), limits, loop, Events.NONE);
         new StandInEngine(listener, limits).start();
-        System.out.println("stand-in engine listens at " + read.standIn());
+        System.out.println("stand-in engine listens at " + parsed.standIn());
         Thread.currentThread().join();
         return 0;
     }
--- a/src/main/java/cairnline/program/ReloadSignal.java
+++ b/src/main/java/cairnline/program/ReloadSignal.java
@@ -1,22 +1,23 @@
 package cairnline.program;
 
 /**
- * SIGHUP, which asks for the configuration to be read again. It is handled from the first moment, since the virtual machine
- * ends on one that nobody handles; one that comes before there is anything to reload is carried out then.
+ * Handles SIGHUP, the request to reload the configuration. The handler is installed at the start of the program, since an
+ * unhandled SIGHUP terminates the virtual machine. A signal that arrives before the reload task is set is deferred until
+ * then; several are merged into one.
  */
 final class ReloadSignal {
     private Runnable reload;
     private boolean pending;
 
-    /** Handles the signal from now on. */
+    /** Installs the signal handler. */
     static ReloadSignal install() {
         ReloadSignal signal = new ReloadSignal();
-        Signals.handle("HUP", signal::received);
+        Signals.handle("HUP", signal::onSignal);
         return signal;
     }
 
-    /** From now on the signal is answered by this task, and at once if it came before. */
-    synchronized void answerBy(Runnable task) {
+    /** Sets the task that runs on each signal, and runs it at once if a signal is pending. */
+    synchronized void setReloadTask(Runnable task) {
         reload = task;
         if (pending) {
             pending = false;
@@ -24,7 +25,7 @@
         }
     }
 
-    synchronized void received() {
+    synchronized void onSignal() {
         if (reload == null) {
             pending = true;
         } else {
--- a/src/main/java/cairnline/program/ServeCommand.java
+++ b/src/main/java/cairnline/program/ServeCommand.java
@@ -9,7 +9,7 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Spec;
 
-/** The workload manager; the environment names the platform's configuration. */
+/** Runs the workload manager; the environment variable ROUTER_CONFIG names the platform's configuration. */
 @Command(name = "serve", mixinStandardHelpOptions = true,
         description = "Serves until SIGTERM; ROUTER_CONFIG names the platform's configuration.")
 final class ServeCommand implements Callable<Integer> {
@@ -17,22 +17,22 @@
     private CommandSpec spec;
 
     @Option(names = "--settings", paramLabel = "FILE",
-            description = "what is on beside the platform's protocol: the kept list, logs, OData")
-    private Path settings;
+            description = "settings of the optional features: stored engine list, logs, OData front")
+    private Path settingsFile;
 
     @Parameters(index = "0", arity = "0..1", paramLabel = "ODATA-FILE",
-            description = "the same, for a file that turns the OData front on")
-    private Path odata;
+            description = "a settings file that must enable the OData front")
+    private Path odataFile;
 
     @Override
     public Integer call() throws Exception {
         ReloadSignal reloadSignal = ReloadSignal.install();
-        if (settings != null && odata != null) {
-            throw new ParameterException(spec.commandLine(), "--settings and ODATA-FILE are one file, given once");
+        if (settingsFile != null && odataFile != null) {
+            throw new ParameterException(spec.commandLine(), "--settings and ODATA-FILE are mutually exclusive");
         }
         Configuration configuration = Configuration.read(System.getenv());
-        Path file = settings != null ? settings : odata;
-        new Server(configuration, ServeSettings.read(file, odata != null, configuration)).run(reloadSignal);
+        Path file = settingsFile != null ? settingsFile : odataFile;
+        new Server(configuration, ServeSettings.read(file, odataFile != null, configuration)).run(reloadSignal);
         return 0;
     }
 }
--- a/src/main/java/cairnline/program/ServeSettings.java
+++ b/src/main/java/cairnline/program/ServeSettings.java
@@ -10,67 +10,68 @@
 import java.util.Objects;
 
 /**
- * What a settings file turns on beside the platform's configuration, checked and complete.
+ * The validated settings file, which enables features beyond the platform's configuration, with defaults filled in.
  *
- * @param file the file; null where none is given
- * @param odataAsked whether the file was given as the OData front's own, which must then name entity sets
- * @param odata the OData front; null if it is off
+ * @param file the file; null if none was given
+ * @param odataRequired whether the file was given as ODATA-FILE and therefore must define entity sets
+ * @param odata configuration of the OData front; null if it is disabled
+ * @param snapshotFolder the folder of the stored engine list; null if the list is not stored
+ * @param logQueue capacity of the log's queue in events
  * @param logRequests whether each step of each request is logged
- * @param snapshots the folder of the kept list; null if none is kept
  */
-record ServeSettings(Path file, boolean odataAsked, ODataConfiguration odata, Path snapshots, StoreSettings store,
+record ServeSettings(Path file, boolean odataRequired, ODataConfiguration odata, Path snapshotFolder, StoreSettings store,
                      TrustSettings trust, EventLog.Format logFormat, int logQueue, boolean logRequests) {
     private static final long NANOS_PER_MICRO = 1_000;
 
-    /** Reads the file, if there is one; throws with all its faults. */
-    static ServeSettings read(Path file, boolean odataAsked, Configuration configuration) {
+    /** Reads the file, or returns the defaults if it is null; throws SettingsException with all problems of the file. */
+    static ServeSettings read(Path file, boolean odataRequired, Configuration configuration) {
         Resolved in = file == null ? null : SettingsFile.read(file);
-        long warmWithin = configuration.settings().rules().warmWithin() / NANOS_PER_MICRO;
+        long warmUpMicros = configuration.settings().rules().warmWithin() / NANOS_PER_MICRO;
         if (in == null) {
-            return new ServeSettings(null, false, null, null, StoreSettings.usual(), TrustSettings.usual(warmWithin),
-                    EventLog.Format.TEXT, LOG_QUEUE, false);
+            return new ServeSettings(null, false, null, null, StoreSettings.usual(), TrustSettings.usual(warmUpMicros),
+                    EventLog.Format.TEXT, DEFAULT_LOG_QUEUE_EVENTS, false);
         }
-        ODataConfiguration odata = odataAsked || in.has("sets")
-                ? ODataConfiguration.of(in.asJson(), configuration.settings()) : null;
-        return new ServeSettings(file, odataAsked, odata,
-                in.has("discovery.snapshot.dir") ? Path.of(in.text("discovery.snapshot.dir")) : null, store(in),
-                trust(in, warmWithin), EventLog.Format.valueOf(in.text("log.format").toUpperCase(Locale.ROOT)),
+        ODataConfiguration odata = odataRequired || in.has("sets")
+                ? ODataConfiguration.parse(in.asJson(), configuration.settings()) : null;
+        return new ServeSettings(file, odataRequired, odata,
+                in.has("discovery.snapshot.dir") ? Path.of(in.text("discovery.snapshot.dir")) : null, readStoreSettings(in),
+                readTrustSettings(in, warmUpMicros), EventLog.Format.valueOf(in.text("log.format").toUpperCase(Locale.ROOT)),
                 in.whole("log.queue"), in.text("log.level").equals("requests"));
     }
 
-    private static final int LOG_QUEUE = 1_024;
+    private static final int DEFAULT_LOG_QUEUE_EVENTS = 1_024;
 
-    private static StoreSettings store(Resolved in) {
-        String at = "discovery.snapshot.";
-        ordered(in, at + "pauseLeast", at + "pauseMost");
-        return new StoreSettings(in.whole(at + "generations"), in.amount(at + "every"),
-                in.whole(at + "writesPerMinute"), (int) in.amount(at + "maxBytes"), in.amount(at + "clocksDiffer"),
-                in.amount(at + "pauseLeast"), in.amount(at + "pauseMost"));
+    private static StoreSettings readStoreSettings(Resolved in) {
+        String prefix = "discovery.snapshot.";
+        requireOrdered(in, prefix + "pauseLeast", prefix + "pauseMost");
+        return new StoreSettings(in.whole(prefix + "generations"), in.amount(prefix + "every"),
+                in.whole(prefix + "writesPerMinute"), (int) in.amount(prefix + "maxBytes"),
+                in.amount(prefix + "clocksDiffer"), in.amount(prefix + "pauseLeast"), in.amount(prefix + "pauseMost"));
     }
 
-    private static TrustSettings trust(Resolved in, long warmWithin) {
-        String at = "discovery.trust.";
-        ordered(in, at + "probePause", at + "probePauseMost");
-        return new TrustSettings(in.amount(at + "halfLife"), in.number(at + "fresh"), warmWithin,
-                in.amount(at + "probeWithin"), in.amount(at + "probePause"), in.amount(at + "probePauseMost"),
-                in.whole(at + "probesAtOnce"), in.whole(at + "enough"), in.amount(at + "advice"));
+    private static TrustSettings readTrustSettings(Resolved in, long warmUpMicros) {
+        String prefix = "discovery.trust.";
+        requireOrdered(in, prefix + "probePause", prefix + "probePauseMost");
+        return new TrustSettings(in.amount(prefix + "halfLife"), in.number(prefix + "fresh"), warmUpMicros,
+                in.amount(prefix + "probeWithin"), in.amount(prefix + "probePause"), in.amount(prefix + "probePauseMost"),
+                in.whole(prefix + "probesAtOnce"), in.whole(prefix + "enough"), in.amount(prefix + "advice"));
     }
 
-    /** No schema says that one key may not be more than another. */
-    private static void ordered(Resolved in, String least, String most) {
-        if (in.amount(least) > in.amount(most)) {
-            throw new ConfigurationException(least, "is more than " + most);
+    /** Checks that one value does not exceed another, a constraint between two keys that the schema cannot express. */
+    private static void requireOrdered(Resolved in, String lowerKey, String upperKey) {
+        if (in.amount(lowerKey) > in.amount(upperKey)) {
+            throw new ConfigurationException(lowerKey, "is more than " + upperKey);
         }
     }
 
-    /** The same file as it is now. */
-    ServeSettings again(Configuration configuration) {
-        return read(file, odataAsked, configuration);
+    /** Reads the same file again. */
+    ServeSettings reread(Configuration configuration) {
+        return read(file, odataRequired, configuration);
     }
 
-    /** Whether another reading differs in what can't change while the program runs. */
+    /** Returns whether the other settings differ in a value that cannot be changed at run time. */
     boolean needsRestart(ServeSettings other) {
-        return !Objects.equals(snapshots, other.snapshots) || !store.equals(other.store) || !trust.equals(other.trust)
+        return !Objects.equals(snapshotFolder, other.snapshotFolder) || !store.equals(other.store) || !trust.equals(other.trust)
                 || logFormat != other.logFormat || logQueue != other.logQueue || logRequests != other.logRequests
                 || (odata == null) != (other.odata == null);
     }
--- a/src/main/java/cairnline/program/Server.java
+++ b/src/main/java/cairnline/program/Server.java
@@ -26,145 +26,154 @@
 import java.net.InetSocketAddress;
 import java.util.concurrent.CountDownLatch;
 
-/** The workload manager: its parts wired, its start and its end. */
+/** The workload manager process: wires its components and controls start, configuration reload and shutdown. */
 final class Server {
-    private static final long LOG_FLUSH_MS = 200;
+    private static final long LOG_FLUSH_TIMEOUT_MILLIS = 200;
 
-    private final Configuration started;
+    /** The configuration at process start; a reload applies only part of a newer one. */
+    private final Configuration initialConfiguration;
     private final ServeSettings settings;
     private final Limits limits;
     private final Clock clock = new Clock();
     private final WallClock wallClock = new WallClock(clock);
     private final EventLog log;
     private final EventLoop loop;
-    private final SnapshotKeeper keeper;
-    private final Core core;
-    private final EngineList list;
-    private final FeedClient feed;
-    private final ClientFront clients;
-    private final ODataServer odata;
+    private final SnapshotKeeper snapshotWriter;
+    private final Core dispatcher;
+    private final EngineList listUpdates;
+    private final FeedClient feedClient;
+    private final ClientFront clientFront;
+    private final ODataServer odataServer;
     private final CountDownLatch stopped = new CountDownLatch(1);
 
     Server(Configuration configuration, ServeSettings settings) throws IOException {
-        started = configuration;
+        initialConfiguration = configuration;
         this.settings = settings;
         limits = configuration.limits();
         log = new EventLog(settings.logFormat(), settings.logQueue());
         loop = new EventLoop("connections", limits.routing().stackBytes(), clock);
-        SnapshotFolder folder = settings.snapshots() == null ? null
-                : new SnapshotFolder(settings.snapshots(), settings.store(), log);
+        SnapshotFolder folder = settings.snapshotFolder() == null ? null
+                : new SnapshotFolder(settings.snapshotFolder(), settings.store(), log);
         ConnectionBudget<PooledLink.Connection> connections =
                 new ConnectionBudget<>(limits.engines().connections(), limits.engines().idle());
-        keeper = folder == null ? null : new SnapshotKeeper(folder, settings.store(), log, clock::micros);
-        core = new Core(configuration.settings(), configuration.seed(), limits, clock,
+        snapshotWriter = folder == null ? null : new SnapshotKeeper(folder, settings.store(), log, clock::micros);
+        dispatcher = new Core(configuration.settings(), configuration.seed(), limits, clock,
                 line -> log.warn("module", line),
-                (engine, owner) -> new RespLink(engine.id(), reach(engine.address(), log), owner, limits, loop, connections,
-                        log),
-                settings.trust(), keeper == null ? Keeper.NONE : keeper, settings.logRequests() ? this::trace : RequestTrace.OFF);
-        // What the configuration knows is as old as the start takes: an engine may have begun to drain since.
-        core.awaitFeed();
-        list = new EngineList(core, limits, clock);
-        feed = new FeedClient(configuration.feed(), list, limits, clock, wallClock, log);
-        clients = new ClientFront(new Listener(configuration.listen(), limits.clients().connections(), limits, loop, log), core,
-                configuration.classes(), limits, log);
+                (engine, owner) -> new RespLink(engine.id(), resolveOrUnreachable(engine.address(), log), owner, limits, loop,
+                        connections, log),
+                settings.trust(), snapshotWriter == null ? Keeper.NONE : snapshotWriter,
+                settings.logRequests() ? this::trace : RequestTrace.OFF);
+        // The engines in the configuration may be outdated by the time of the start: one may be draining since.
+        dispatcher.awaitFeed();
+        listUpdates = new EngineList(dispatcher, limits, clock);
+        feedClient = new FeedClient(configuration.feed(), listUpdates, limits, clock, wallClock, log);
+        clientFront = new ClientFront(
+                new Listener(configuration.listen(), limits.clients().connections(), limits, loop, log), dispatcher,
+                configuration.requestClasses(), limits, log);
         if (folder != null) {
-            remember(folder);
+            restoreEngineList(folder);
         }
-        // As one event: its actor does not run yet, and its mailbox holds fewer than a long day has.
-        list.changed(configuration.knownLast(), true, configuration.known().stream().allMatch(e -> e.hosts() == null) ? null
-                : FeedClient.entries(FeedEvent.standing(configuration.knownLast(), configuration.known()), wallClock));
-        odata = settings.odata() == null ? null
+        // Merged into one event: the actor does not run yet, and a full day has more events than its mailbox can hold.
+        listUpdates.changed(configuration.lastInitialEventNumber(), true,
+                configuration.initialEvents().stream().allMatch(event -> event.hosts() == null) ? null
+                : FeedClient.entries(FeedEvent.standing(configuration.lastInitialEventNumber(), configuration.initialEvents()),
+                        wallClock));
+        odataServer = settings.odata() == null ? null
                 : new ODataServer(configuration, settings.odata(), loop, log);
     }
 
-    /** What the configuration knows comes from the feed itself, and so stands above what the disk remembers. */
-    private void remember(SnapshotFolder folder) {
-        if (started.known().stream().anyMatch(event -> event.hosts() != null && !event.hosts().isEmpty())) {
-            log.info("snapshot.unused", "the configuration names engines; the kept list is not read");
+    /** Restores the stored engine list unless the configuration lists engines: those come from the feed, so they prevail. */
+    private void restoreEngineList(SnapshotFolder folder) {
+        if (initialConfiguration.initialEvents().stream()
+                .anyMatch(event -> event.hosts() != null && !event.hosts().isEmpty())) {
+            log.info("snapshot.unused", "the configuration lists engines; the stored engine list is not read");
             return;
         }
-        Snapshot kept = folder.newest(clock.micros());
-        if (kept != null) {
-            core.remembered(kept.engines());
-            log.info("snapshot.restored", "starts from the kept list until the control feed tells", "engines",
-                    kept.engines().size(), "ageMs", (clock.micros() - kept.savedAt()) / 1_000);
+        Snapshot snapshot = folder.newest(clock.micros());
+        if (snapshot != null) {
+            dispatcher.remembered(snapshot.engines());
+            log.info("snapshot.restored", "using the stored engine list until the control feed responds", "engines",
+                    snapshot.engines().size(), "ageMs", (clock.micros() - snapshot.savedAt()) / 1_000);
         }
     }
 
-    /** Serves until the process is told to end. */
+    /** Starts all components and serves until the process is terminated. */
     void run(ReloadSignal reloadSignal) throws InterruptedException {
         Thread.setDefaultUncaughtExceptionHandler(new UncaughtErrorHandler(clock, System.err, Runtime.getRuntime()::halt));
-        // A shutdown hook, since SIGTERM must end in exit code 0 with all that was taken answered.
+        // A shutdown hook, since after SIGTERM all accepted requests must be answered and the exit code must be 0.
         Runtime.getRuntime().addShutdownHook(new Thread(this::stop, "stop"));
         log.start();
         loop.start();
-        if (keeper != null) {
-            keeper.start();
+        if (snapshotWriter != null) {
+            snapshotWriter.start();
         }
-        core.start();
-        list.start();
-        clients.start();
-        feed.start();
-        if (odata != null) {
-            odata.start();
+        dispatcher.start();
+        listUpdates.start();
+        clientFront.start();
+        feedClient.start();
+        if (odataServer != null) {
+            odataServer.start();
         }
-        reloadSignal.answerBy(this::reload);
+        reloadSignal.setReloadTask(this::reload);
         stopped.await();
     }
 
-    private void trace(String step, Request request, String engine, long at, String reason) {
-        log.info("request." + step, reason, "id", request.id(), "engine", engine, "us", at);
+    private void trace(String step, Request request, String engine, long atMicros, String reason) {
+        log.info("request." + step, reason, "id", request.id(), "engine", engine, "us", atMicros);
     }
 
-    private void tell(Configuration configuration) {
-        configuration.known().forEach(event ->
-                list.changed(event.number(), event.whole(), FeedClient.entries(event, wallClock)));
+    private void submitInitialEvents(Configuration configuration) {
+        configuration.initialEvents().forEach(event ->
+                listUpdates.changed(event.number(), event.whole(), FeedClient.entries(event, wallClock)));
     }
 
-    /** Reads the configuration again, all of it before any of it counts; with a fault in it the old one stays. */
+    /** Reloads the configuration. It is read completely before any of it is applied; if it is invalid, the old one stays. */
     private synchronized void reload() {
         try {
             Configuration next = Configuration.read(System.getenv());
-            ServeSettings nextSettings = settings.again(started);
-            feed.follow(next.feed());
-            tell(next);
-            if (odata != null && nextSettings.odata() != null) {
-                odata.follow(nextSettings.odata());
+            ServeSettings nextSettings = settings.reread(initialConfiguration);
+            feedClient.follow(next.feed());
+            submitInitialEvents(next);
+            if (odataServer != null && nextSettings.odata() != null) {
+                odataServer.applyConfiguration(nextSettings.odata());
             }
-            boolean partly = next.needsRestart(started) || settings.needsRestart(nextSettings);
-            log.info("configuration.read", "configuration read again; the control feed is at " + next.feed()
-                    + (partly ? "; what else has changed counts from the next start" : ""));
+            boolean needsRestart = next.needsRestart(initialConfiguration) || settings.needsRestart(nextSettings);
+            log.info("configuration.read", "configuration reloaded; the control feed is at " + next.feed()
+                    + (needsRestart ? "; the other changes take effect at the next start" : ""));
         } catch (ConfigurationException | SettingsException e) {
             log.warn("configuration.kept", "the old configuration stays: " + e.getMessage());
         }
     }
 
     private void stop() {
-        CountDownLatch answered = new CountDownLatch(odata == null ? 1 : 2);
-        clients.stopping();
-        core.stopping(answered::countDown);
-        if (odata != null) {
-            odata.stop(answered::countDown);
+        CountDownLatch answered = new CountDownLatch(odataServer == null ? 1 : 2);
+        clientFront.stopping();
+        dispatcher.stopping(answered::countDown);
+        if (odataServer != null) {
+            odataServer.stop(answered::countDown);
         }
         try {
             answered.await();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        clients.drain(limits.shutdown().draining());
-        if (odata != null) {
-            odata.drain();
+        clientFront.drain(limits.shutdown().draining());
+        if (odataServer != null) {
+            odataServer.drain();
         }
-        if (keeper != null) {
-            keeper.flush(limits.shutdown().draining());
+        if (snapshotWriter != null) {
+            snapshotWriter.flush(limits.shutdown().draining());
         }
-        log.flush(LOG_FLUSH_MS);
+        log.flush(LOG_FLUSH_TIMEOUT_MILLIS);
         stopped.countDown();
         Runtime.getRuntime().halt(0);
     }
 
-    /** An address that can't be read is one that can't be reached; the other engines of its event still count. */
-    static InetSocketAddress reach(String address, Events log) {
+    /**
+     * Returns the socket address of an engine. A malformed address is logged and replaced by one that can never be reached,
+     * so that the other engines of the same event remain usable.
+     */
+    static InetSocketAddress resolveOrUnreachable(String address, Events log) {
         try {
             return Configuration.parseAddress("dial", address);
         } catch (ConfigurationException e) {
--- a/src/main/java/cairnline/program/SettingsCommand.java
+++ b/src/main/java/cairnline/program/SettingsCommand.java
@@ -5,12 +5,12 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** Looks into settings files. */
+/** Validates and prints settings files. */
 @Command(name = "settings", mixinStandardHelpOptions = true, synopsisSubcommandLabel = "(check | show)",
         description = "Checks or shows a settings file.")
 final class SettingsCommand {
     @Command(name = "check", mixinStandardHelpOptions = true,
-            description = "Tells all faults of a settings file; exit code 2 if there is one.")
+            description = "Reports all problems of a settings file; exits with 2 if there are any.")
     int check(@Parameters(paramLabel = "FILE") Path file) {
         SettingsFile.read(file);
         System.out.println(file + ": no faults");
--- a/src/main/java/cairnline/program/Signals.java
+++ b/src/main/java/cairnline/program/Signals.java
@@ -2,27 +2,28 @@
 
 import java.lang.reflect.Proxy;
 
-/** Signals of the system. */
+/** Installs handlers for operating system signals. */
 final class Signals {
     private Signals() { }
 
     /**
-     * Runs a task at each such signal. Java has no public class for that; the one that all JDKs ship is used by its
-     * name, since javac warns of every use and {@code -Werror} makes that an error.
+     * Runs a task on each signal of a name without its SIG prefix. Java has no public API for this; {@code sun.misc.Signal},
+     * which all JDKs ship, is used by reflection, since javac warns about every direct use and {@code -Werror} turns that
+     * warning into an error.
      */
     static void handle(String signal, Runnable task) {
         try {
-            Class<?> type = Class.forName("sun.misc.Signal");
-            Class<?> handler = Class.forName("sun.misc.SignalHandler");
-            Object handles = Proxy.newProxyInstance(Signals.class.getClassLoader(), new Class<?>[] {handler},
+            Class<?> signalType = Class.forName("sun.misc.Signal");
+            Class<?> handlerType = Class.forName("sun.misc.SignalHandler");
+            Object handler = Proxy.newProxyInstance(Signals.class.getClassLoader(), new Class<?>[] {handlerType},
                     (proxy, method, arguments) -> {
                         task.run();
                         return null;
                     });
-            type.getMethod("handle", type, handler)
-                    .invoke(null, type.getConstructor(String.class).newInstance(signal), handles);
+            signalType.getMethod("handle", signalType, handlerType)
+                    .invoke(null, signalType.getConstructor(String.class).newInstance(signal), handler);
         } catch (ReflectiveOperationException e) {
-            throw new IllegalStateException("SIG" + signal + " can't be handled here", e);
+            throw new IllegalStateException("SIG" + signal + " cannot be handled by this virtual machine", e);
         }
     }
 }
--- a/src/main/java/cairnline/program/SimhostCommand.java
+++ b/src/main/java/cairnline/program/SimhostCommand.java
@@ -7,15 +7,15 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 
-/** The same decisions on the simulator's wire. */
+/** Runs the decision module behind the simulator's protocol instead of sockets. */
 @Command(name = "simhost", mixinStandardHelpOptions = true,
-        description = "The same decisions on the simulator's wire, on standard input and output.")
+        description = "Makes the same decisions for the simulator, over its protocol on standard input and output.")
 final class SimhostCommand implements Callable<Integer> {
-    private static final int BUFFER = 1 << 16;
+    private static final int BUFFER_CHARS = 1 << 16;
 
     @Override
     public Integer call() throws Exception {
-        SimHost.serve(new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8), BUFFER), System.out);
+        SimHost.serve(new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8), BUFFER_CHARS), System.out);
         return 0;
     }
 }
--- a/src/main/java/cairnline/program/UncaughtErrorHandler.java
+++ b/src/main/java/cairnline/program/UncaughtErrorHandler.java
@@ -6,51 +6,50 @@
 import java.util.function.IntConsumer;
 
 /**
- * What becomes of errors that nobody foresaw: each leaves a line, written before anything else is done, with its thread,
- * time and reason. A fault of one letter or one connection ends no more than that. What leaves the program standing
- * without serving ends the process: the end of a thread that it can't do without, an error of the virtual machine, or
- * one shortage of memory after another.
+ * Handles errors that no code expected. Each is first written as a line with its time, thread and reason. An error in one
+ * task or one connection has no further consequence. An error after which the program would run on without serving ends
+ * the process: the termination of a critical thread, an error of the virtual machine, or repeated memory exhaustion.
  */
 final class UncaughtErrorHandler implements Thread.UncaughtExceptionHandler {
-    /** Exit code of a process that can't go on. */
-    static final int CODE = 70;
-    /** So many shortages of memory within this time, in microseconds, are no passing ones. */
-    private static final int SHORTAGES = 5;
-    private static final long TOGETHER = 1_000_000;
+    /** Exit code after an unrecoverable error. */
+    static final int EXIT_CODE = 70;
+    /** This many out-of-memory errors within the window are treated as lasting memory exhaustion. */
+    private static final int MAX_MEMORY_ERRORS = 5;
+    private static final long MEMORY_ERROR_WINDOW_MICROS = 1_000_000;
 
     private final Clock clock;
-    private final PrintStream to;
-    private final IntConsumer end;
-    private final ArrayDeque<Long> shortages = new ArrayDeque<>();
+    private final PrintStream output;
+    private final IntConsumer exit;
+    private final ArrayDeque<Long> memoryErrorTimes = new ArrayDeque<>();
 
-    /** {@code end} ends the process with a code. */
-    UncaughtErrorHandler(Clock clock, PrintStream to, IntConsumer end) {
+    /** Creates a handler that writes to {@code output} and ends the process by passing {@code exit} the exit code. */
+    UncaughtErrorHandler(Clock clock, PrintStream output, IntConsumer exit) {
         this.clock = clock;
-        this.to = to;
-        this.end = end;
+        this.output = output;
+        this.exit = exit;
     }
 
     @Override
-    public synchronized void uncaughtException(Thread thread, Throwable e) {
+    public synchronized void uncaughtException(Thread thread, Throwable error) {
         long now = clock.micros();
-        boolean last = e instanceof OutOfMemoryError ? isLasting(now)
-                : e instanceof Error && !(e instanceof StackOverflowError);
-        to.println("cairnline: " + now + " thread " + thread.getName() + ": " + e
-                + (last ? "; the process can't go on and ends with " + CODE : ""));
-        for (StackTraceElement frame : e.getStackTrace()) {
-            to.println("\tat " + frame);
+        boolean fatal = error instanceof OutOfMemoryError ? isMemoryExhausted(now)
+                : error instanceof Error && !(error instanceof StackOverflowError);
+        output.println("cairnline: " + now + " thread " + thread.getName() + ": " + error
+                + (fatal ? "; unrecoverable, the process exits with code " + EXIT_CODE : ""));
+        for (StackTraceElement frame : error.getStackTrace()) {
+            output.println("\tat " + frame);
         }
-        to.flush();
-        if (last) {
-            end.accept(CODE);
+        output.flush();
+        if (fatal) {
+            exit.accept(EXIT_CODE);
         }
     }
 
-    private boolean isLasting(long now) {
-        shortages.addLast(now);
-        while (now - shortages.peekFirst() > TOGETHER) {
-            shortages.removeFirst();
+    private boolean isMemoryExhausted(long now) {
+        memoryErrorTimes.addLast(now);
+        while (now - memoryErrorTimes.peekFirst() > MEMORY_ERROR_WINDOW_MICROS) {
+            memoryErrorTimes.removeFirst();
         }
-        return shortages.size() >= SHORTAGES;
+        return memoryErrorTimes.size() >= MAX_MEMORY_ERRORS;
     }
 }
--- a/src/main/java/cairnline/standin/EngineModel.java
+++ b/src/main/java/cairnline/standin/EngineModel.java
@@ -8,149 +8,155 @@
 import java.util.Map;
 
 /**
- * How an engine runs what it is sent: all at once, its cores shared by threads, less of them while it is cold. It counts
- * the work that reaches it in each window against what it can do at that moment, as the rule on cold engines does.
- * Event-driven and without a clock of its own; times are microseconds, work microseconds on one core. Used by one
- * thread at a time.
+ * A processor-sharing model of an engine: all queries run at once and their threads share the cores, of which a cold
+ * engine has fewer. It compares the work that arrives in each window with the capacity at that moment, as the rule that
+ * protects cold engines does. The model is event-driven and is given the time by its caller; times are microseconds, work
+ * is microseconds on one core. Not thread-safe.
  */
 public final class EngineModel {
-    /** While it warms up on a curve, what it can do is taken anew this often. */
-    private static final long STEP = 50_000;
-    private static final double DONE = 0.5;
+    /** Interval at which the capacity is recalculated while it grows gradually. */
+    private static final long CAPACITY_STEP_MICROS = 50_000;
+    /** A query with less work left is done; absorbs rounding errors. */
+    private static final double DONE_WORK_MICROS = 0.5;
 
-    private final EngineParameters shape;
+    private final EngineParameters parameters;
     private final long startedAt;
     private final boolean cold;
-    private final Map<String, Running> running = new LinkedHashMap<>();
-    private final ArrayDeque<Arrival> window = new ArrayDeque<>();
-    private double inWindow;
-    private double highest;
-    private boolean fell;
+    private final Map<String, RunningQuery> running = new LinkedHashMap<>();
+    private final ArrayDeque<Arrival> recentArrivals = new ArrayDeque<>();
+    private double workInWindow;
+    private double peakColdLoad;
+    private boolean overloaded;
     private long now;
 
     /**
-     * An engine's figures.
+     * Capacity and warm-up behavior of an engine.
      *
-     * @param cores when it is warm
-     * @param coldFrom the share of them that it starts with
-     * @param warmWithin after this it is warm
-     * @param late whether it stays at the first share until then, the worst that the rules leave open; else it gains
-     *     with the square of time
-     * @param tipMultiple so many times what it can do make it fall, cold
-     * @param overloadFor if sent within such a window
+     * @param cores number of cores when warm
+     * @param initialCapacityShare share of the cores that a cold engine has at its start
+     * @param warmUpMicros time from its start until a cold engine is warm
+     * @param stepWarmUp whether it keeps the initial share until it is warm, the worst case that the rules allow; otherwise
+     *     its capacity grows with the square of its age
+     * @param overloadMultiple a cold engine is overloaded by more than this multiple of its capacity
+     * @param overloadWindowMicros length of the window in which that work arrives
      */
-    public record EngineParameters(int cores, double coldFrom, long warmWithin, boolean late, double tipMultiple,
-                        long overloadFor) { }
+    public record EngineParameters(int cores, double initialCapacityShare, long warmUpMicros, boolean stepWarmUp,
+                                   double overloadMultiple, long overloadWindowMicros) { }
 
     private record Arrival(long at, double work) { }
 
-    private static final class Running {
+    private static final class RunningQuery {
         final double work;
         final int threads;
-        double left;
+        double remainingWork;
 
-        Running(double work, int threads) {
+        RunningQuery(double work, int threads) {
             this.work = work;
             this.threads = threads;
-            this.left = work;
+            this.remainingWork = work;
         }
     }
 
-    /** An engine that starts now. */
-    public EngineModel(EngineParameters shape, boolean cold, long now) {
-        this.shape = shape;
+    /** Creates an engine that starts at time {@code now}. */
+    public EngineModel(EngineParameters parameters, boolean cold, long now) {
+        this.parameters = parameters;
         this.cold = cold;
         this.startedAt = now;
         this.now = now;
     }
 
-    /** How many cores it has to give at this time. */
+    /** Returns the number of cores available at a time. */
     public double capacity(long at) {
-        double age = Math.min(1, (double) (at - startedAt) / shape.warmWithin());
-        double grown = !cold || age >= 1 ? 1 : shape.late() ? 0 : age * age;
-        return shape.cores() * (shape.coldFrom() + (1 - shape.coldFrom()) * grown);
+        double age = Math.min(1, (double) (at - startedAt) / parameters.warmUpMicros());
+        double warmth = !cold || age >= 1 ? 1 : parameters.stepWarmUp() ? 0 : age * age;
+        return parameters.cores()
+                * (parameters.initialCapacityShare() + (1 - parameters.initialCapacityShare()) * warmth);
     }
 
-    /** A query comes; those that were done before must have been taken with {@link #advance}. */
-    public void arrive(String id, long work, int threads) {
-        running.put(id, new Running(work, threads));
-        window.addLast(new Arrival(now, work));
-        inWindow += work;
-        while (window.peekFirst().at < now - shape.overloadFor()) {
-            inWindow -= window.pollFirst().work;
+    /** Starts a query now; queries that have completed by now must have been collected with {@link #advance}. */
+    public void startQuery(String id, long work, int threads) {
+        running.put(id, new RunningQuery(work, threads));
+        recentArrivals.addLast(new Arrival(now, work));
+        workInWindow += work;
+        while (recentArrivals.peekFirst().at < now - parameters.overloadWindowMicros()) {
+            workInWindow -= recentArrivals.pollFirst().work;
         }
-        if (cold && now - startedAt < shape.warmWithin()) {
-            double over = inWindow / (capacity(now) * shape.overloadFor());
-            highest = Math.max(highest, over);
-            fell |= over > shape.tipMultiple();
+        if (cold && now - startedAt < parameters.warmUpMicros()) {
+            double load = workInWindow / (capacity(now) * parameters.overloadWindowMicros());
+            peakColdLoad = Math.max(peakColdLoad, load);
+            overloaded |= load > parameters.overloadMultiple();
         }
     }
 
-    /** Runs on to this time; gives what got done, in order. */
+    /** Advances the time and returns the queries that completed, in order of completion. */
     public List<String> advance(long to) {
-        List<String> done = new ArrayList<>();
+        List<String> completed = new ArrayList<>();
         while (now < to) {
-            long until = Math.min(to, next());
-            double speed = speed();
-            for (Running each : running.values()) {
-                each.left -= each.threads * speed * (until - now);
+            long until = Math.min(to, nextEventAt());
+            double speed = threadSpeed();
+            for (RunningQuery query : running.values()) {
+                query.remainingWork -= query.threads * speed * (until - now);
             }
             now = until;
-            for (Iterator<Map.Entry<String, Running>> each = running.entrySet().iterator(); each.hasNext();) {
-                Map.Entry<String, Running> entry = each.next();
-                if (entry.getValue().left <= DONE) {
-                    done.add(entry.getKey());
-                    each.remove();
+            for (Iterator<Map.Entry<String, RunningQuery>> iterator = running.entrySet().iterator(); iterator.hasNext();) {
+                Map.Entry<String, RunningQuery> entry = iterator.next();
+                if (entry.getValue().remainingWork <= DONE_WORK_MICROS) {
+                    completed.add(entry.getKey());
+                    iterator.remove();
                 }
             }
         }
-        return done;
+        return completed;
     }
 
-    /** What one thread gets of a core. */
-    private double speed() {
-        int threads = running.values().stream().mapToInt(r -> r.threads).sum();
+    /** Returns the share of a core that each thread gets. */
+    private double threadSpeed() {
+        int threads = running.values().stream().mapToInt(query -> query.threads).sum();
         return threads == 0 ? 1 : Math.min(1, capacity(now) / threads);
     }
 
-    /** When the next is done, or is to be reckoned with anew; never if nothing runs. */
-    public long next() {
+    /**
+     * Returns the time of the next completion or capacity change, whichever is earlier; {@link Long#MAX_VALUE} if no query
+     * runs.
+     */
+    public long nextEventAt() {
         if (running.isEmpty()) {
             return Long.MAX_VALUE;
         }
-        double speed = speed();
-        double least = Double.MAX_VALUE;
-        for (Running each : running.values()) {
-            least = Math.min(least, each.left / (each.threads * speed));
+        double speed = threadSpeed();
+        double minRemaining = Double.MAX_VALUE;
+        for (RunningQuery query : running.values()) {
+            minRemaining = Math.min(minRemaining, query.remainingWork / (query.threads * speed));
         }
-        long done = now + Math.max(1, (long) Math.ceil(least));
-        long warm = startedAt + shape.warmWithin();
-        return !cold || now >= warm ? done : Math.min(done, shape.late() ? warm : now + STEP);
+        long completionAt = now + Math.max(1, (long) Math.ceil(minRemaining));
+        long warmAt = startedAt + parameters.warmUpMicros();
+        return !cold || now >= warmAt ? completionAt
+                : Math.min(completionAt, parameters.stepWarmUp() ? warmAt : now + CAPACITY_STEP_MICROS);
     }
 
-    /** How many it runs. */
-    public int inflight() {
+    /** Returns the number of running queries. */
+    public int runningCount() {
         return running.size();
     }
 
-    /** Share of its work that a query has done; 1 if it does not run. */
+    /** Returns the share of its work that a query has completed; 1 if it does not run. */
     public double progress(String id) {
-        Running r = running.get(id);
-        return r == null ? 1 : 1 - r.left / r.work;
+        RunningQuery query = running.get(id);
+        return query == null ? 1 : 1 - query.remainingWork / query.work;
     }
 
-    /** How busy its cores are, from 0 to 1. */
+    /** Returns the utilization of the cores, from 0 to 1. */
     public double utilization() {
-        return Math.min(1, running.values().stream().mapToInt(r -> r.threads).sum() / capacity(now));
+        return Math.min(1, running.values().stream().mapToInt(query -> query.threads).sum() / capacity(now));
     }
 
-    /** The most work that came in a window while it was cold, in multiples of what it could do at that moment. */
-    public double highest() {
-        return highest;
+    /** Returns the most work that arrived in a window while cold, as a multiple of the capacity at that moment. */
+    public double peakColdLoad() {
+        return peakColdLoad;
     }
 
-    /** Whether that was more than it stands. */
-    public boolean fell() {
-        return fell;
+    /** Returns whether the engine was overloaded while cold. */
+    public boolean isOverloaded() {
+        return overloaded;
     }
 }
--- a/src/main/java/cairnline/standin/StandInClient.java
+++ b/src/main/java/cairnline/standin/StandInClient.java
@@ -12,82 +12,87 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** A client of the platform's wire: one connection, any number of requests out, each answer told as it comes. */
+/**
+ * A stand-in client of the platform's client protocol: one connection with any number of concurrent requests. Each answer
+ * is passed to a listener as it arrives. Thread-safe.
+ */
 public final class StandInClient implements AutoCloseable {
-    /** What became of a request. */
-    public record Answer(String type, int code, long micros) { }
+    /** The answer to a request: its class, the answer's code on the wire, and the time since the request was sent. */
+    public record Answer(String requestClass, int code, long latencyMicros) { }
 
-    /** Told each answer, on the thread that reads. */
+    /** Receives the answers, on the thread that reads the connection. */
     public interface Listener {
-        /** An answer has come whole. */
-        void answered(Answer answer);
+        /** Called for each complete answer. */
+        void onAnswer(Answer answer);
     }
 
-    private static final int FRAME_MOST = 300_000;
+    private static final int MAX_FRAME_BYTES = 300_000;
 
-    private record Asked(String type, long at) { }
+    private record OpenRequest(String requestClass, long sentAtNanos) { }
 
     private final Socket socket;
     private final OutputStream out;
-    private final Map<Long, Asked> open = new HashMap<>();
-    private long stream;
+    private final Map<Long, OpenRequest> openRequests = new HashMap<>();
+    private long lastStream;
 
-    /** Connects. */
+    /** Connects to a workload manager on this machine. */
     public StandInClient(int port, Listener listener) throws IOException {
         socket = new Socket(InetAddress.getByName("127.0.0.1"), port);
         socket.setTcpNoDelay(true);
         out = socket.getOutputStream();
-        Thread reader = new Thread(() -> read(listener), "toy client");
+        Thread reader = new Thread(() -> readFrames(listener), "toy client");
         reader.setDaemon(true);
         reader.start();
     }
 
-    /** Asks; {@code key} is null for a class without one. */
-    public synchronized void send(String type, String call, String key, long ttlMs, double workMs) throws IOException {
+    /** Sends a request; {@code orderingKey} is null for a class without one. */
+    public synchronized void send(String requestClass, String id, String orderingKey, long timeoutMillis, double workMillis)
+            throws IOException {
         Map<String, String> fields = new LinkedHashMap<>();
-        fields.put("op", type);
-        fields.put("call", call);
-        fields.put("ttl", Long.toString(ttlMs));
-        fields.put("work", String.format(Locale.ROOT, "%.1f", workMs));
+        fields.put("op", requestClass);
+        fields.put("call", id);
+        fields.put("ttl", Long.toString(timeoutMillis));
+        fields.put("work", String.format(Locale.ROOT, "%.1f", workMillis));
         fields.put("heap", "8");
-        if (key != null) {
-            fields.put("dedupe", "d" + call);
-            fields.put("row", key);
+        if (orderingKey != null) {
+            fields.put("dedupe", "d" + id);
+            fields.put("row", orderingKey);
         }
-        open.put(++stream, new Asked(type, System.nanoTime()));
-        out.write(ClientFrames.request(stream, fields,
-                ("select title from sales_" + stream % 20 + ".books").getBytes(StandardCharsets.UTF_8)));
+        openRequests.put(++lastStream, new OpenRequest(requestClass, System.nanoTime()));
+        out.write(ClientFrames.request(lastStream, fields,
+                ("select title from sales_" + lastStream % 20 + ".books").getBytes(StandardCharsets.UTF_8)));
     }
 
-    private void read(Listener listener) {
-        ClientFrames frames = new ClientFrames(FRAME_MOST);
+    private void readFrames(Listener listener) {
+        ClientFrames frames = new ClientFrames(MAX_FRAME_BYTES);
         byte[] bytes = new byte[8_192];
         try {
             InputStream in = socket.getInputStream();
             for (int count = in.read(bytes); count >= 0; count = in.read(bytes)) {
                 frames.feed(bytes, count);
                 for (ClientFrames.Frame frame = frames.next(); frame != null; frame = frames.next()) {
-                    take(frame, listener);
+                    handleFrame(frame, listener);
                 }
             }
         } catch (IOException e) {
-            // Closed here, or by the other side: what is open then has no answer.
+            // Closed by either side; open requests get no answer.
         }
     }
 
-    private void take(ClientFrames.Frame frame, Listener listener) {
-        Asked asked;
+    private void handleFrame(ClientFrames.Frame frame, Listener listener) {
+        OpenRequest request;
         synchronized (this) {
-            asked = frame.type() == ClientFrames.ANSWER ? open.remove(frame.stream()) : null;
+            request = frame.type() == ClientFrames.ANSWER ? openRequests.remove(frame.stream()) : null;
         }
-        if (asked != null) {
-            listener.answered(new Answer(asked.type, frame.payload()[0], (System.nanoTime() - asked.at) / 1_000));
+        if (request != null) {
+            listener.onAnswer(new Answer(request.requestClass, frame.payload()[0],
+                    (System.nanoTime() - request.sentAtNanos) / 1_000));
         }
     }
 
-    /** How many have no answer yet. */
-    public synchronized int open() {
-        return open.size();
+    /** Returns the number of requests without an answer. */
+    public synchronized int openRequests() {
+        return openRequests.size();
     }
 
     @Override
--- a/src/main/java/cairnline/standin/StandInFeed.java
+++ b/src/main/java/cairnline/standin/StandInFeed.java
@@ -10,97 +10,99 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A stand-in control feed on a loopback port. It can be hidden and shown again at the same port; ends with close. */
+/**
+ * A stand-in control feed on a loopback port. It can be taken offline and put online again at the same port. Thread-safe.
+ */
 public final class StandInFeed implements AutoCloseable {
-    private static final long HEARTBEAT_MS = 1_000;
-    private static final int STACK = 256 * 1024;
+    private static final long HEARTBEAT_INTERVAL_MILLIS = 1_000;
+    private static final int THREAD_STACK_BYTES = 256 * 1024;
 
     private final List<String> events = new ArrayList<>();
-    private final List<Socket> followers = new ArrayList<>();
-    private final List<String> asked = new ArrayList<>();
+    private final List<Socket> subscribers = new ArrayList<>();
+    private final List<String> subscriptions = new ArrayList<>();
     private final int port;
     private ServerSocket server;
 
-    /** One engine of an event. */
-    public record EngineEntry(String id, String address, String health, long bornMs) {
-        /** The host as an event words it. */
+    /** An engine in an event; {@code startedAtMillis} is its start in milliseconds since the epoch, 0 if unknown. */
+    public record EngineEntry(String id, String address, String health, long startedAtMillis) {
+        /** Returns the entry in the feed's JSON form. */
         public String json() {
             return "{\"host\":\"" + id + "\",\"dial\":\"" + address + "\",\"site\":\"dc1\",\"class\":\"std16\","
-                    + "\"block\":0,\"health\":\"" + health + "\",\"share\":4,\"born_ms\":" + bornMs + "}";
+                    + "\"block\":0,\"health\":\"" + health + "\",\"share\":4,\"born_ms\":" + startedAtMillis + "}";
         }
     }
 
-    /** A feed without events that can be reached. */
+    /** Creates a feed that is online and has no events. */
     public StandInFeed() throws IOException {
         server = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
         port = server.getLocalPort();
-        serve(server);
+        acceptSubscribers(server);
     }
 
-    /** Where it listens, or would. */
+    /** Returns its address as {@code host:port}, which is the same while it is offline. */
     public String address() {
         return "127.0.0.1:" + port;
     }
 
-    /** Numbers of the last event that followers said they had, in the order in which they came. */
+    /** Returns the subscription lines received, in order; each names the last event that the subscriber has. */
     public synchronized List<String> subscriptions() {
-        return List.copyOf(asked);
+        return List.copyOf(subscriptions);
     }
 
-    /** Tells of engines; the first event must be whole. Told at once to those that follow. */
-    public synchronized void publish(boolean whole, List<EngineEntry> hosts) {
+    /** Publishes an event, at once to connected subscribers; the first event must be complete, i.e. list all engines. */
+    public synchronized void publish(boolean complete, List<EngineEntry> engines) {
         int number = events.size() + 1;
-        events.add("{\"n\":" + number + ",\"members\":{\"seq\":" + number + ",\"whole\":" + whole + ",\"hosts\":["
-                + String.join(",", hosts.stream().map(EngineEntry::json).toList()) + "]}}");
+        events.add("{\"n\":" + number + ",\"members\":{\"seq\":" + number + ",\"whole\":" + complete + ",\"hosts\":["
+                + String.join(",", engines.stream().map(EngineEntry::json).toList()) + "]}}");
         notifyAll();
     }
 
-    /** From now on it can't be reached; what it is told meanwhile is told later. */
+    /** Disconnects all subscribers and refuses connections; events published meanwhile are delivered once online again. */
     public synchronized void goOffline() throws IOException {
         server.close();
-        for (Socket follower : followers) {
-            follower.close();
+        for (Socket subscriber : subscribers) {
+            subscriber.close();
         }
-        followers.clear();
+        subscribers.clear();
     }
 
-    /** It can be reached again. */
+    /** Accepts connections again, at the same port. */
     public synchronized void goOnline() throws IOException {
         server = new ServerSocket(port, 50, InetAddress.getByName("127.0.0.1"));
-        serve(server);
+        acceptSubscribers(server);
     }
 
-    private void serve(ServerSocket from) {
-        daemon(() -> {
+    private void acceptSubscribers(ServerSocket listening) {
+        startDaemon(() -> {
             while (true) {
-                Socket follower = from.accept();
+                Socket subscriber = listening.accept();
                 synchronized (this) {
-                    followers.add(follower);
+                    subscribers.add(subscriber);
                 }
-                daemon(() -> follow(follower));
+                startDaemon(() -> serve(subscriber));
             }
         });
     }
 
-    private void follow(Socket follower) throws IOException {
-        String line = new BufferedReader(new InputStreamReader(follower.getInputStream(), StandardCharsets.US_ASCII))
+    private void serve(Socket subscriber) throws IOException {
+        String line = new BufferedReader(new InputStreamReader(subscriber.getInputStream(), StandardCharsets.US_ASCII))
                 .readLine();
         if (line == null || !line.startsWith("SUB ")) {
-            follower.close();
+            subscriber.close();
             return;
         }
-        int told = Integer.parseInt(line.substring("SUB ".length()).strip());
+        int lastSent = Integer.parseInt(line.substring("SUB ".length()).strip());
         synchronized (this) {
-            asked.add(line);
-            while (!follower.isClosed()) {
-                StringBuilder news = new StringBuilder();
-                for (; told < events.size(); told++) {
-                    news.append(events.get(told)).append('\n');
+            subscriptions.add(line);
+            while (!subscriber.isClosed()) {
+                StringBuilder lines = new StringBuilder();
+                for (; lastSent < events.size(); lastSent++) {
+                    lines.append(events.get(lastSent)).append('\n');
                 }
-                news.append(events.size()).append('\n');
-                follower.getOutputStream().write(news.toString().getBytes(StandardCharsets.UTF_8));
+                lines.append(events.size()).append('\n');
+                subscriber.getOutputStream().write(lines.toString().getBytes(StandardCharsets.UTF_8));
                 try {
-                    wait(HEARTBEAT_MS);
+                    wait(HEARTBEAT_INTERVAL_MILLIS);
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                     return;
@@ -113,14 +115,14 @@
         void run() throws IOException;
     }
 
-    private static void daemon(Task task) {
+    private static void startDaemon(Task task) {
         Thread thread = new Thread(null, () -> {
             try {
                 task.run();
             } catch (IOException e) {
-                // The other side, hide() or close() has ended it.
+                // Closed by the other side, or by goOffline() or close().
             }
-        }, "stand-in feed", STACK);
+        }, "stand-in feed", THREAD_STACK_BYTES);
         thread.setDaemon(true);
         thread.start();
     }
--- a/src/main/java/cairnline/standin/StandInFleet.java
+++ b/src/main/java/cairnline/standin/StandInFleet.java
@@ -18,130 +18,130 @@
 import java.util.concurrent.CountDownLatch;
 
 /**
- * Hundreds of stand-in engines on loopback ports, all in one thread: they answer each query at once with one row, and
- * each probe as idle. For tests of size; what an engine does under load is {@link StandInRespEngine}'s.
+ * Hundreds of stand-in engines on loopback ports, served by one thread. They answer each query at once with one row, and
+ * each probe as an idle engine. For tests of fleet size; {@link StandInRespEngine} models an engine under load. Public
+ * methods may be called from any thread and wait for the serving thread.
  */
 public final class StandInFleet implements AutoCloseable {
-    private static final int BACKLOG = 64;
-    private static final int PARTS_MOST = 5;
-    private static final int PART_MOST = 300_000;
-    private static final int READ_SIZE = 65_536;
+    private static final int ACCEPT_BACKLOG = 64;
+    private static final int MAX_COMMAND_PARTS = 5;
+    private static final int MAX_PART_BYTES = 300_000;
+    private static final int READ_BUFFER_BYTES = 65_536;
 
     private final Selector selector = Selector.open();
-    private final List<Place> places = new ArrayList<>();
+    private final List<Engine> engines = new ArrayList<>();
     private final ConcurrentLinkedQueue<Task> tasks = new ConcurrentLinkedQueue<>();
-    private final ByteBuffer read = ByteBuffer.allocate(READ_SIZE);
+    private final ByteBuffer readBuffer = ByteBuffer.allocate(READ_BUFFER_BYTES);
     private final Thread thread = new Thread(this::run, "stand-in fleet");
-    private int resets;
+    private int pendingResets;
     private volatile boolean closed;
 
     private interface Task {
         void run() throws IOException;
     }
 
-    /** An engine's port, and what is connected there. */
-    private static final class Place {
+    private static final class Engine {
         final int port;
         ServerSocketChannel server;
-        final List<SocketChannel> connected = new ArrayList<>();
-        int asked;
+        final List<SocketChannel> connections = new ArrayList<>();
+        int queryCount;
 
-        Place(int port) {
+        Engine(int port) {
             this.port = port;
         }
     }
 
-    private record Connection(Place place, Resp commands) { }
+    private record Connection(Engine engine, Resp commands) { }
 
-    /** So many engines. */
-    public StandInFleet(int engines) throws IOException {
-        for (int i = 0; i < engines; i++) {
+    /** Starts engines on free ports. */
+    public StandInFleet(int engineCount) throws IOException {
+        for (int i = 0; i < engineCount; i++) {
             ServerSocketChannel server = open(0);
-            Place place = new Place(((InetSocketAddress) server.getLocalAddress()).getPort());
-            listen(place, server);
-            places.add(place);
+            Engine engine = new Engine(((InetSocketAddress) server.getLocalAddress()).getPort());
+            listen(engine, server);
+            engines.add(engine);
         }
         thread.setDaemon(true);
         thread.start();
     }
 
-    /** Where this engine listens. */
+    /** Returns the address of the engine with this index, as {@code host:port}. */
     public String address(int engine) {
-        return "127.0.0.1:" + places.get(engine).port;
+        return "127.0.0.1:" + engines.get(engine).port;
     }
 
-    /** The engines from one to before another end as processes that die do: connections are reset, ports refuse. */
+    /** Simulates a crash of engines {@code from} to {@code to} (exclusive): resets connections and closes the ports. */
     public void kill(int from, int to) throws InterruptedException {
-        onThread(() -> {
-            for (Place place : places.subList(from, to)) {
-                place.server.close();
-                for (SocketChannel channel : place.connected) {
+        runOnServingThread(() -> {
+            for (Engine engine : engines.subList(from, to)) {
+                engine.server.close();
+                for (SocketChannel channel : engine.connections) {
                     reset(channel);
                 }
-                place.connected.clear();
+                engine.connections.clear();
             }
-            // A port is free once the selector has let go of it.
+            // A closed port becomes free only after the next selection deregisters its channel.
             selector.selectNow();
         });
     }
 
-    /** They come back at the same ports. */
+    /** Restarts killed engines {@code from} to {@code to} (exclusive) at the same ports. */
     public void restart(int from, int to) throws InterruptedException {
-        onThread(() -> {
-            for (Place place : places.subList(from, to)) {
-                listen(place, open(place.port));
+        runOnServingThread(() -> {
+            for (Engine engine : engines.subList(from, to)) {
+                listen(engine, open(engine.port));
             }
         });
     }
 
-    /** The next so many queries are answered by a reset of their connection. */
+    /** Answers the given number of next queries by resetting their connections. */
     public void resetNextQueries(int queries) throws InterruptedException {
-        onThread(() -> resets = queries);
+        runOnServingThread(() -> pendingResets = queries);
     }
 
-    /** How many connections are open to all engines together. */
+    /** Returns the number of open connections to all engines together. */
     public int connectionCount() throws InterruptedException {
         int[] count = {0};
-        onThread(() -> count[0] = places.stream().mapToInt(place -> place.connected.size()).sum());
+        runOnServingThread(() -> count[0] = engines.stream().mapToInt(engine -> engine.connections.size()).sum());
         return count[0];
     }
 
-    /** How many engines have had a query. */
+    /** Returns the number of engines that have received at least one query. */
     public int queriedEngineCount() throws InterruptedException {
         int[] count = {0};
-        onThread(() -> count[0] = (int) places.stream().filter(place -> place.asked > 0).count());
+        runOnServingThread(() -> count[0] = (int) engines.stream().filter(engine -> engine.queryCount > 0).count());
         return count[0];
     }
 
-    private void onThread(Task task) throws InterruptedException {
+    private void runOnServingThread(Task task) throws InterruptedException {
         CountDownLatch done = new CountDownLatch(1);
-        IOException[] failed = {null};
+        IOException[] failure = {null};
         tasks.add(() -> {
             try {
                 task.run();
             } catch (IOException e) {
-                failed[0] = e;
+                failure[0] = e;
             }
             done.countDown();
         });
         selector.wakeup();
         done.await();
-        if (failed[0] != null) {
-            throw new IllegalStateException(failed[0]);
+        if (failure[0] != null) {
+            throw new IllegalStateException(failure[0]);
         }
     }
 
     private static ServerSocketChannel open(int port) throws IOException {
         ServerSocketChannel server = ServerSocketChannel.open();
         server.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-        server.bind(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), port), BACKLOG);
+        server.bind(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), port), ACCEPT_BACKLOG);
         server.configureBlocking(false);
         return server;
     }
 
-    private void listen(Place place, ServerSocketChannel server) throws IOException {
-        place.server = server;
-        server.register(selector, SelectionKey.OP_ACCEPT, place);
+    private void listen(Engine engine, ServerSocketChannel server) throws IOException {
+        engine.server = server;
+        server.register(selector, SelectionKey.OP_ACCEPT, engine);
     }
 
     private void run() {
@@ -153,7 +153,7 @@
                 }
                 for (SelectionKey key : selector.selectedKeys()) {
                     if (key.isValid() && key.isAcceptable()) {
-                        accept((Place) key.attachment());
+                        accept((Engine) key.attachment());
                     } else if (key.isValid()) {
                         serve((SocketChannel) key.channel(), (Connection) key.attachment());
                     }
@@ -165,42 +165,43 @@
         }
     }
 
-    private void accept(Place place) throws IOException {
-        SocketChannel channel = place.server.accept();
+    private void accept(Engine engine) throws IOException {
+        SocketChannel channel = engine.server.accept();
         if (channel != null) {
             channel.configureBlocking(false);
             channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
-            channel.register(selector, SelectionKey.OP_READ, new Connection(place, new Resp(PARTS_MOST, PART_MOST)));
-            place.connected.add(channel);
+            channel.register(selector, SelectionKey.OP_READ,
+                    new Connection(engine, new Resp(MAX_COMMAND_PARTS, MAX_PART_BYTES)));
+            engine.connections.add(channel);
         }
     }
 
     private void serve(SocketChannel channel, Connection connection) throws IOException {
         try {
-            int count = channel.read(read.clear());
+            int count = channel.read(readBuffer.clear());
             if (count < 0) {
-                throw new IOException("closed");
+                throw new IOException("connection closed by the client");
             }
-            connection.commands.feed(read.array(), count);
+            connection.commands.feed(readBuffer.array(), count);
             for (List<byte[]> parts = connection.commands.next(); parts != null; parts = connection.commands.next()) {
-                answer(channel, connection.place, parts.stream().map(p -> new String(p, StandardCharsets.UTF_8)).toList());
+                answer(channel, connection.engine, parts.stream().map(p -> new String(p, StandardCharsets.UTF_8)).toList());
             }
         } catch (IOException | ProtocolException e) {
-            connection.place.connected.remove(channel);
+            connection.engine.connections.remove(channel);
             channel.close();
         }
     }
 
-    private void answer(SocketChannel channel, Place place, List<String> command) throws IOException {
+    private void answer(SocketChannel channel, Engine engine, List<String> command) throws IOException {
         String id = command.get(1);
         if (command.get(0).equals("top")) {
             channel.write(ByteBuffer.wrap(Resp.words(id, "READY", "report=inflight:0;util:0;x0:0;x1:0", "")));
-        } else if (command.get(0).equals("do") && resets > 0) {
-            resets--;
+        } else if (command.get(0).equals("do") && pendingResets > 0) {
+            pendingResets--;
             reset(channel);
-            place.connected.remove(channel);
+            engine.connections.remove(channel);
         } else if (command.get(0).equals("do")) {
-            place.asked++;
+            engine.queryCount++;
             channel.write(ByteBuffer.wrap(Resp.words(id, "ACK", "parts=1,work=20.0,peak=8", "row-of-" + id + "\t\t\n")));
         }
     }
@@ -215,7 +216,7 @@
     @Override
     public void close() throws IOException {
         try {
-            kill(0, places.size());
+            kill(0, engines.size());
             closed = true;
             selector.wakeup();
             thread.join();
--- a/src/main/java/cairnline/standin/StandInRespEngine.java
+++ b/src/main/java/cairnline/standin/StandInRespEngine.java
@@ -15,113 +15,113 @@
 import java.util.Map;
 
 /**
- * A stand-in engine on a loopback port that speaks the platform's wire and runs queries as an {@link EngineModel} does.
- * It can behave as what is found at an address that no longer is an engine's. It ends with {@link #close}.
+ * A stand-in engine on a loopback port that speaks the platform's engine protocol and runs queries on an
+ * {@link EngineModel}. It can also behave like a process that has taken over the address of a former engine. Thread-safe.
  */
 public final class StandInRespEngine implements AutoCloseable {
-    /** What answers at the address. */
+    /** What the process at the address is. */
     public enum Behavior {
         /** An engine. */
         ENGINE,
-        /** Something that takes connections and says nothing. */
+        /** Accepts connections and never answers. */
         SILENT,
-        /** Something that speaks another protocol. */
+        /** Speaks another protocol. */
         FOREIGN
     }
 
-    /** What a query of a class costs: microseconds on one core, and threads. */
-    public record Cost(long work, int threads) { }
+    /** Cost of a query of a class: work in microseconds on one core, and number of threads. */
+    public record Cost(long workMicros, int threads) { }
 
-    /** A query that came: when, in microseconds of {@link System#nanoTime}, and under which id and key. */
-    public record Received(long at, String id, String type, String key) { }
+    /** A received query; {@code atMicros} is its arrival in microseconds of {@link System#nanoTime}. */
+    public record ReceivedQuery(long atMicros, String id, String requestClass, String idempotencyKey) { }
 
-    private static final String FOREIGN = "HTTP/1.1 400 Bad Request\r\nConnection: close\r\n\r\n";
-    private static final int PARTS_MOST = 5;
-    private static final int PART_MOST = 300_000;
-    private static final long NOTE_EVERY = 1_000_000;
-    private static final int STACK = 256 * 1024;
-    private static final long CLOSE_MS = 5_000;
+    private static final String FOREIGN_ANSWER = "HTTP/1.1 400 Bad Request\r\nConnection: close\r\n\r\n";
+    private static final int MAX_COMMAND_PARTS = 5;
+    private static final int MAX_PART_BYTES = 300_000;
+    private static final long STATUS_INTERVAL_MICROS = 1_000_000;
+    private static final int THREAD_STACK_BYTES = 256 * 1024;
+    private static final long CLOSE_TIMEOUT_MILLIS = 5_000;
 
     private final ServerSocket server;
-    private final Thread accepting;
-    private final Behavior manner;
+    private final Thread acceptThread;
+    private final Behavior behavior;
     private final Map<String, Cost> costs;
     private final EngineModel model;
-    private final Map<String, Asked> open = new HashMap<>();
-    private final List<Received> received = new ArrayList<>();
+    private final Map<String, RunningQuery> running = new HashMap<>();
+    private final List<ReceivedQuery> received = new ArrayList<>();
     private final List<Socket> sockets = new ArrayList<>();
-    private int connects;
+    private int acceptedConnections;
     private boolean closed;
 
-    private record Asked(Socket from, String id, long work) { }
+    private record RunningQuery(Socket socket, String id, long workMicros) { }
 
-    /** An engine at this port (0 for any), warm or cold, that starts now. */
-    public StandInRespEngine(int port, Behavior manner, EngineModel.EngineParameters shape, boolean cold, Map<String, Cost> costs)
-            throws IOException {
+    /** Starts an engine at a port, 0 for a free one; {@code costs} are by request class. */
+    public StandInRespEngine(int port, Behavior behavior, EngineModel.EngineParameters parameters, boolean cold,
+            Map<String, Cost> costs) throws IOException {
         this.server = new ServerSocket(port, 200, InetAddress.getByName("127.0.0.1"));
-        this.manner = manner;
+        this.behavior = behavior;
         this.costs = costs;
-        this.model = new EngineModel(shape, cold, micros());
-        this.accepting = daemon("stand-in accepts", this::accept);
-        daemon("stand-in runs", this::work);
+        this.model = new EngineModel(parameters, cold, nowMicros());
+        this.acceptThread = startDaemon("stand-in accepts", this::acceptConnections);
+        startDaemon("stand-in runs", this::runQueries);
     }
 
-    private static long micros() {
+    private static long nowMicros() {
         return System.nanoTime() / 1_000;
     }
 
-    /** Where it listens. */
+    /** Returns the address as {@code host:port}. */
     public String address() {
         return "127.0.0.1:" + server.getLocalPort();
     }
 
-    /** Its port. */
+    /** Returns the port on which it listens. */
     public int port() {
         return server.getLocalPort();
     }
 
-    /** The queries that came, in order. */
-    public synchronized List<Received> received() {
+    /** Returns the queries received so far, in order. */
+    public synchronized List<ReceivedQuery> received() {
         return List.copyOf(received);
     }
 
-    /** How many connections came up. */
-    public synchronized int connects() {
-        return connects;
+    /** Returns the number of connections accepted so far. */
+    public synchronized int acceptedConnections() {
+        return acceptedConnections;
     }
 
-    /** The most work in a window while cold, in multiples of what it could do. */
-    public synchronized double highest() {
-        return model.highest();
+    /** Returns the most work that arrived in a window while cold, as a multiple of the capacity at that moment. */
+    public synchronized double peakColdLoad() {
+        return model.peakColdLoad();
     }
 
     private interface Task {
         void run() throws IOException, InterruptedException;
     }
 
-    private static Thread daemon(String name, Task task) {
+    private static Thread startDaemon(String name, Task task) {
         Thread thread = new Thread(null, () -> {
             try {
                 task.run();
             } catch (IOException | ProtocolException e) {
-                // The other side, or close(), has ended it.
+                // Closed by the other side or by close().
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
-        }, name, STACK);
+        }, name, THREAD_STACK_BYTES);
         thread.setDaemon(true);
         thread.start();
         return thread;
     }
 
-    private void accept() throws IOException {
+    private void acceptConnections() throws IOException {
         while (true) {
             Socket socket = server.accept();
             synchronized (this) {
-                connects++;
+                acceptedConnections++;
                 sockets.add(socket);
             }
-            daemon("stand-in reads", () -> {
+            startDaemon("stand-in reads", () -> {
                 try (socket) {
                     serve(socket);
                 }
@@ -133,91 +133,91 @@
         socket.setTcpNoDelay(true);
         InputStream in = socket.getInputStream();
         byte[] bytes = new byte[8_192];
-        Resp resp = new Resp(PARTS_MOST, PART_MOST);
+        Resp commands = new Resp(MAX_COMMAND_PARTS, MAX_PART_BYTES);
         for (int count = in.read(bytes); count >= 0; count = in.read(bytes)) {
-            if (manner == Behavior.FOREIGN) {
-                socket.getOutputStream().write(FOREIGN.getBytes(StandardCharsets.US_ASCII));
+            if (behavior == Behavior.FOREIGN) {
+                socket.getOutputStream().write(FOREIGN_ANSWER.getBytes(StandardCharsets.US_ASCII));
                 return;
-            } else if (manner == Behavior.ENGINE) {
-                resp.feed(bytes, count);
-                for (List<byte[]> parts = resp.next(); parts != null; parts = resp.next()) {
-                    take(socket, parts.stream().map(part -> new String(part, StandardCharsets.UTF_8)).toList());
+            } else if (behavior == Behavior.ENGINE) {
+                commands.feed(bytes, count);
+                for (List<byte[]> parts = commands.next(); parts != null; parts = commands.next()) {
+                    handleCommand(socket, parts.stream().map(part -> new String(part, StandardCharsets.UTF_8)).toList());
                 }
             }
         }
     }
 
-    private synchronized void take(Socket from, List<String> command) throws IOException {
+    private synchronized void handleCommand(Socket socket, List<String> command) throws IOException {
         String id = command.get(1);
         switch (command.get(0)) {
             case "do" -> {
                 Map<String, String> fields = Resp.fields(command.get(2));
                 Cost cost = costs.getOrDefault(fields.get("profile"), new Cost(20_000, 1));
-                finish(model.advance(micros()));
-                received.add(new Received(micros(), id, fields.get("profile"), fields.get("replay")));
-                // The same id may be open from an earlier attempt, which goes on.
-                String own = id + "/" + received.size();
-                model.arrive(own, cost.work(), cost.threads());
-                open.put(own, new Asked(from, id, cost.work()));
-                if (model.fell()) {
+                answerCompleted(model.advance(nowMicros()));
+                received.add(new ReceivedQuery(nowMicros(), id, fields.get("profile"), fields.get("replay")));
+                // An earlier attempt with the same id may still run.
+                String attemptId = id + "/" + received.size();
+                model.startQuery(attemptId, cost.workMicros(), cost.threads());
+                running.put(attemptId, new RunningQuery(socket, id, cost.workMicros()));
+                if (model.isOverloaded()) {
                     close();
                 }
                 notifyAll();
             }
-            case "undo" -> open.values().removeIf(asked -> asked.id.equals(id) && asked.from == from);
-            case "ping", "top" -> write(from, Resp.words(id, "READY", String.format(Locale.ROOT,
-                    "report=inflight:%d;util:%.2f;x0:0;x1:0", model.inflight(), model.utilization()), ""));
+            case "undo" -> running.values().removeIf(query -> query.id.equals(id) && query.socket == socket);
+            case "ping", "top" -> write(socket, Resp.words(id, "READY", String.format(Locale.ROOT,
+                    "report=inflight:%d;util:%.2f;x0:0;x1:0", model.runningCount(), model.utilization()), ""));
             default -> { }
         }
     }
 
-    private void work() throws InterruptedException {
-        long noteAt = micros() + NOTE_EVERY;
+    private void runQueries() throws InterruptedException {
+        long nextStatusAt = nowMicros() + STATUS_INTERVAL_MICROS;
         while (true) {
             synchronized (this) {
                 if (closed) {
                     return;
                 }
-                long now = micros();
-                finish(model.advance(now));
-                if (now >= noteAt) {
-                    noteAt = now + NOTE_EVERY;
-                    tellProgress();
+                long now = nowMicros();
+                answerCompleted(model.advance(now));
+                if (now >= nextStatusAt) {
+                    nextStatusAt = now + STATUS_INTERVAL_MICROS;
+                    sendProgress();
                 }
-                long left = Math.min(noteAt, model.next()) - micros();
-                if (left > 0) {
-                    wait(left / 1_000, (int) (left % 1_000) * 1_000);
+                long remaining = Math.min(nextStatusAt, model.nextEventAt()) - nowMicros();
+                if (remaining > 0) {
+                    wait(remaining / 1_000, (int) (remaining % 1_000) * 1_000);
                 }
             }
         }
     }
 
-    private void finish(List<String> done) {
-        for (String own : done) {
-            Asked asked = open.remove(own);
-            if (asked != null) {
-                write(asked.from, Resp.words(asked.id, "ACK", String.format(Locale.ROOT, "parts=1,work=%.1f,peak=8",
-                        asked.work / 1_000.0), "row-of-" + asked.id + "\t\t\n"));
+    private void answerCompleted(List<String> attemptIds) {
+        for (String attemptId : attemptIds) {
+            RunningQuery query = running.remove(attemptId);
+            if (query != null) {
+                write(query.socket, Resp.words(query.id, "ACK", String.format(Locale.ROOT, "parts=1,work=%.1f,peak=8",
+                        query.workMicros / 1_000.0), "row-of-" + query.id + "\t\t\n"));
             }
         }
     }
 
-    private void tellProgress() {
-        for (Map.Entry<String, Asked> each : open.entrySet()) {
-            write(each.getValue().from, Resp.words(each.getValue().id, "EVENT", String.format(Locale.ROOT,
-                    "remark=advance,value=%.4f", model.progress(each.getKey())), ""));
+    private void sendProgress() {
+        for (Map.Entry<String, RunningQuery> entry : running.entrySet()) {
+            write(entry.getValue().socket, Resp.words(entry.getValue().id, "EVENT", String.format(Locale.ROOT,
+                    "remark=advance,value=%.4f", model.progress(entry.getKey())), ""));
         }
     }
 
-    private static void write(Socket to, byte[] bytes) {
+    private static void write(Socket socket, byte[] bytes) {
         try {
-            to.getOutputStream().write(bytes);
+            socket.getOutputStream().write(bytes);
         } catch (IOException e) {
-            // It has hung up; what ran for it has run.
+            // The client has disconnected, so nobody waits for this message.
         }
     }
 
-    /** Ends as a process that dies does: connections are reset, and its port refuses. */
+    /** Simulates a crash: resets all connections and closes the port. */
     @Override
     public void close() throws IOException {
         server.close();
@@ -232,8 +232,8 @@
             notifyAll();
         }
         try {
-            // While its accept() has not returned the port is still taken, and a successor there can't start.
-            accepting.join(CLOSE_MS);
+            // Until accept() has returned the port is still in use, and a successor could not bind it.
+            acceptThread.join(CLOSE_TIMEOUT_MILLIS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/test/java/cairnline/program/ConfigurationTest.java
+++ b/src/test/java/cairnline/program/ConfigurationTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 class ConfigurationTest {
-    private static String text() {
+    private static String exampleJson() {
         try {
             return new String(ConfigurationTest.class.getResourceAsStream("/config.json").readAllBytes(),
                     StandardCharsets.UTF_8);
@@ -23,43 +23,44 @@
         }
     }
 
-    private static Configuration read(String json) {
+    private static Configuration parse(String json) {
         return Configuration.of(json.getBytes(StandardCharsets.UTF_8), null);
     }
 
     @Test
-    void settingsAreReadAsTheSimulatorTellsThem() {
-        Configuration configuration = read(text());
+    void readsSettingsInTheFormOfTheSimulator() {
+        Configuration configuration = parse(exampleJson());
         assertEquals(List.of("lookup", "report", "load", "once"),
                 configuration.settings().types().stream().map(type -> type.name()).toList());
         assertEquals(List.of(1, 4, 2, 1), configuration.settings().types().stream().map(type -> type.threads()).toList());
         assertTrue(configuration.settings().types().get(0).waitsForHolder());
         assertEquals(16, configuration.settings().kinds().get("std16").cores());
         assertEquals(250_000, configuration.limits().connections().connect());
-        assertTrue(configuration.classes().get("load").ordered());
-        assertFalse(configuration.classes().get("lookup").keyed());
+        assertTrue(configuration.requestClasses().get("load").ordered());
+        assertFalse(configuration.requestClasses().get("lookup").keyed());
     }
 
-    /** How many managers there are decides probes, samples and shares: one that is not told counts as alone. */
+    /** The number of managers determines probe, sampling and capacity shares; without it a manager assumes it is alone. */
     @Test
-    void theNumberOfManagersIsAtLeastOne() {
-        String told = "\"groupSize\": ";
-        int at = text().indexOf(told) + told.length();
-        assertTrue(at > told.length(), "the configuration tells it");
-        String rest = text().substring(at).replaceFirst("^\\d+", "");
-        assertEquals(14, read(text().substring(0, at) + 14 + rest).settings().fronts());
-        assertEquals(1, read(text().substring(0, at) + 1 + rest).settings().fronts());
-        assertEquals(1, read(text().replace(told, "\"other\": ")).settings().fronts());
+    void requiresAtLeastOneManagerAndDefaultsToOne() {
+        String groupSizeKey = "\"groupSize\": ";
+        int valueStart = exampleJson().indexOf(groupSizeKey) + groupSizeKey.length();
+        assertTrue(valueStart > groupSizeKey.length(), "the example contains the group size");
+        String afterValue = exampleJson().substring(valueStart).replaceFirst("^\\d+", "");
+        assertEquals(14, parse(exampleJson().substring(0, valueStart) + 14 + afterValue).settings().fronts());
+        assertEquals(1, parse(exampleJson().substring(0, valueStart) + 1 + afterValue).settings().fronts());
+        assertEquals(1, parse(exampleJson().replace(groupSizeKey, "\"other\": ")).settings().fronts());
         ConfigurationException e = assertThrows(ConfigurationException.class,
-                () -> read(text().substring(0, at) + 0 + rest));
+                () -> parse(exampleJson().substring(0, valueStart) + 0 + afterValue));
         assertTrue(e.getMessage().startsWith("settings: "), e.getMessage());
-        assertEquals(1_024, read(text().substring(0, at) + 1_024 + rest).settings().fronts());
-        assertThrows(ConfigurationException.class, () -> read(text().substring(0, at) + "\"many\"" + rest));
+        assertEquals(1_024, parse(exampleJson().substring(0, valueStart) + 1_024 + afterValue).settings().fronts());
+        assertThrows(ConfigurationException.class,
+                () -> parse(exampleJson().substring(0, valueStart) + "\"many\"" + afterValue));
     }
 
-    /** What the platform refuses: other processes, IPv6 sockets, fronts and disks that a settings file would turn on. */
+    /** The platform rejects further processes, IPv6 sockets, and the listeners and files that a settings file enables. */
     @Test
-    void theDeployFilesRunIsOneProcessOnIpv4WithoutSettings() throws IOException {
+    void deployFileRunsOneProcessOnIpv4WithoutSettingsFile() throws IOException {
         String run = Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
                 .filter(line -> line.startsWith("run = ")).findFirst().orElseThrow();
         assertTrue(run.matches("run = \"exec java [^;&|]* -jar target/cairnline.jar serve\""), run);
@@ -67,47 +68,49 @@
     }
 
     @Test
-    void aKeyRestsLongerThanTheSettingsSay() {
-        // 300 ms are told; an attempt given up early counts as out until its client's time is up.
-        assertEquals(400_000_000, read(text()).settings().rules().keyRest());
+    void extendsTimeThatOrderingKeyStaysBlocked() {
+        // 300 ms are configured; an attempt given up early counts as running until its client's deadline.
+        assertEquals(400_000_000, parse(exampleJson()).settings().rules().keyRest());
     }
 
     @Test
-    void theFaultyKeyIsNamed() {
-        String[][] faults = {{"\"127.0.0.1:0\"", "7", "listen"}, {"\"127.0.0.1:1\"", "\"nowhere\"", "feed"},
+    void namesOffendingKeyInErrorMessage() {
+        String[][] replacementsAndKeys = {{"\"127.0.0.1:0\"", "7", "listen"}, {"\"127.0.0.1:1\"", "\"nowhere\"", "feed"},
             {"\"8c1f30d27a5be964\"", "\"seed\"", "seed"}, {"\"sockets\": 1024", "\"sockets\": -1", "limits.sockets"},
             {"\"events\": []", "\"events\": 4", "known.events"}, {"\"semantics\": \"token\"", "\"semantics\": \"x\"",
                 "settings"}, {"\"aimNs\": 1500000000", "\"aimNs\": \"soon\"", "settings"}};
-        for (String[] fault : faults) {
-            String json = text().replace(fault[0], fault[1]);
-            ConfigurationException e = assertThrows(ConfigurationException.class, () -> read(json), fault[2]);
-            assertEquals(fault[2], e.getMessage().split(":")[0]);
+        for (String[] replacement : replacementsAndKeys) {
+            String json = exampleJson().replace(replacement[0], replacement[1]);
+            ConfigurationException e = assertThrows(ConfigurationException.class, () -> parse(json), replacement[2]);
+            assertEquals(replacement[2], e.getMessage().split(":")[0]);
             assertFalse(e.getMessage().contains("\n"));
         }
     }
 
     @Test
-    void aFaultInTheODataFileIsNamedToo() {
-        String good = "{\"listen\":\"127.0.0.1:0\",\"engines\":[{\"id\":\"e\",\"address\":\"127.0.0.1:1\"}],"
+    void namesOffendingKeyOfODataFileInErrorMessage() {
+        String validJson = "{\"listen\":\"127.0.0.1:0\",\"engines\":[{\"id\":\"e\",\"address\":\"127.0.0.1:1\"}],"
                 + "\"sets\":{\"Books\":{\"read\":\"lookup\",\"write\":\"load\"}}}";
-        assertEquals("Books", ODataConfiguration.of(good.getBytes(StandardCharsets.UTF_8), read(text()).settings())
+        assertEquals("Books", ODataConfiguration
+                .parse(validJson.getBytes(StandardCharsets.UTF_8), parse(exampleJson()).settings())
                 .model().sets().get("Books").name());
-        String[][] faults = {{"\"127.0.0.1:0\"", "\"x\"", "odata.listen"}, {"\"load\"", "\"lookup\"",
+        String[][] replacementsAndKeys = {{"\"127.0.0.1:0\"", "\"x\"", "odata.listen"}, {"\"load\"", "\"lookup\"",
             "odata.sets.Books.write"}, {"\"lookup\"", "\"load\"", "odata.sets.Books.read"},
             {"\"127.0.0.1:1\"", "\"y\"", "odata.engines.address"}};
-        for (String[] fault : faults) {
-            byte[] json = good.replace(fault[0], fault[1]).getBytes(StandardCharsets.UTF_8);
+        for (String[] replacement : replacementsAndKeys) {
+            byte[] json = validJson.replace(replacement[0], replacement[1]).getBytes(StandardCharsets.UTF_8);
             ConfigurationException e = assertThrows(ConfigurationException.class,
-                    () -> ODataConfiguration.of(json, read(text()).settings()));
-            assertEquals(fault[2], e.getMessage().split(":")[0]);
+                    () -> ODataConfiguration.parse(json, parse(exampleJson()).settings()));
+            assertEquals(replacement[2], e.getMessage().split(":")[0]);
         }
     }
 
-    /** Plain serve reads no schema, for its start's sake: what it uses instead must be what the schema says. */
+    /** Plain serve does not read the schema, to start faster, so its defaults in the code must match the schema. */
     @Test
-    void withoutASettingsFileTheDefaultsAreThoseOfTheSchema(@TempDir Path folder) throws IOException {
-        ServeSettings none = ServeSettings.read(null, false, read(text()));
-        ServeSettings empty = ServeSettings.read(Files.writeString(folder.resolve("empty.cue"), ""), false, read(text()));
-        assertFalse(none.needsRestart(empty), none + " is not " + empty);
+    void usesDefaultsOfSchemaWithoutSettingsFile(@TempDir Path folder) throws IOException {
+        ServeSettings withoutFile = ServeSettings.read(null, false, parse(exampleJson()));
+        ServeSettings emptyFile =
+                ServeSettings.read(Files.writeString(folder.resolve("empty.cue"), ""), false, parse(exampleJson()));
+        assertFalse(withoutFile.needsRestart(emptyFile), withoutFile + " is not " + emptyFile);
     }
 }
