--- a/src/test/java/cairnline/program/DiscoveryTest.java
+++ b/src/test/java/cairnline/program/DiscoveryTest.java
@@ -30,300 +30,316 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Starts of real processes with the control feed out of reach, against stand-in engines and a stand-in feed. */
+/** Starts real processes while the control feed is unreachable, with stand-in engines and a stand-in feed. */
 class DiscoveryTest {
-    private static final long LIMIT_S = 20;
-    private static final long SECOND = 1_000_000;
-    private static final long YEAR = 365L * 86_400 * SECOND;
+    private static final long TIMEOUT_SECONDS = 20;
+    private static final long SECOND_MICROS = 1_000_000;
+    private static final long YEAR_MICROS = 365L * 86_400 * SECOND_MICROS;
     private static final Map<String, StandInRespEngine.Cost> COSTS = SyntheticWorkload.costs(0.1);
-    /** Late to warm up: the worst that the rules leave open. */
-    private static final EngineModel.EngineParameters SHAPE = new EngineModel.EngineParameters(16, 0.31, 15 * SECOND, true, 4, 3 * SECOND / 2);
+    /** Capacity does not grow until the engine is warm: the worst case that the rules allow. */
+    private static final EngineModel.EngineParameters ENGINE_PARAMETERS = new EngineModel.EngineParameters(16, 0.31,
+            15 * SECOND_MICROS, true, 4, 3 * SECOND_MICROS / 2);
 
     @TempDir
     Path folder;
 
-    private final List<AutoCloseable> opened = new ArrayList<>();
+    private final List<AutoCloseable> resources = new ArrayList<>();
     private final LinkedBlockingQueue<StandInClient.Answer> answers = new LinkedBlockingQueue<>();
     private StandInFeed feed;
-    private int calls;
+    private int requestCount;
 
     @BeforeEach
-    void hideTheFeed() throws IOException {
-        feed = open(new StandInFeed());
+    void createOfflineFeed() throws IOException {
+        feed = closeAfterTest(new StandInFeed());
         feed.goOffline();
     }
 
     @AfterEach
-    void close() throws Exception {
-        for (int i = opened.size() - 1; i >= 0; i--) {
-            opened.get(i).close();
+    void closeResources() throws Exception {
+        for (int i = resources.size() - 1; i >= 0; i--) {
+            resources.get(i).close();
         }
     }
 
-    private <T extends AutoCloseable> T open(T resource) {
-        opened.add(resource);
+    private <T extends AutoCloseable> T closeAfterTest(T resource) {
+        resources.add(resource);
         return resource;
     }
 
-    private StandInRespEngine engine(Behavior manner, boolean cold) throws IOException {
-        return open(new StandInRespEngine(0, manner, SHAPE, cold, COSTS));
+    private StandInRespEngine startEngine(Behavior behavior, boolean cold) throws IOException {
+        return closeAfterTest(new StandInRespEngine(0, behavior, ENGINE_PARAMETERS, cold, COSTS));
     }
 
-    /** One whose queries are as large as the settings' aims suppose. */
-    private StandInRespEngine large(int port, boolean cold) throws IOException {
-        return open(new StandInRespEngine(port, Behavior.ENGINE, SHAPE, cold, SyntheticWorkload.costs(1)));
+    /** Starts an engine whose queries cost as much as the latency targets in the settings assume. */
+    private StandInRespEngine startFullCostEngine(int port, boolean cold) throws IOException {
+        return closeAfterTest(new StandInRespEngine(port, Behavior.ENGINE, ENGINE_PARAMETERS, cold,
+                SyntheticWorkload.costs(1)));
     }
 
-    private StandInRespEngine engine() throws IOException {
-        return engine(Behavior.ENGINE, false);
+    private StandInRespEngine startEngine() throws IOException {
+        return startEngine(Behavior.ENGINE, false);
     }
 
     private static long unixMicros() {
         return System.currentTimeMillis() * 1_000;
     }
 
-    private static Remembered kept(String id, String address, State last, long age) {
+    private static Remembered stored(String id, String address, State last, long ageMicros) {
         Listed listed = last == State.LEAVING ? Listed.DRAINING : Listed.READY;
-        return new Remembered(new ListedEngine(id, address, listed, "dc1", "std16", 0, 4, 0), last, unixMicros() - age, 0);
+        return new Remembered(new ListedEngine(id, address, listed, "dc1", "std16", 0, 4, 0), last,
+                unixMicros() - ageMicros, 0);
     }
 
-    private static Remembered kept(String id, StandInRespEngine engine) {
-        return kept(id, engine.address(), State.TOLD, 10 * SECOND);
+    private static Remembered stored(String id, StandInRespEngine engine) {
+        return stored(id, engine.address(), State.TOLD, 10 * SECOND_MICROS);
     }
 
-    private Path snapshots(int self) {
-        return folder.resolve("kept-" + self);
+    private Path snapshotFolder(int frontIndex) {
+        return folder.resolve("snapshots-" + frontIndex);
     }
 
-    /** A manager that finds this list on its disk. */
-    private ManagerProcess manager(int self, int fronts, String known, Remembered... kept) throws IOException {
-        Files.createDirectories(snapshots(self));
-        Files.write(snapshots(self).resolve("list-0000000000000007.snap"),
-                SnapshotCodec.encode(new Snapshot(unixMicros(), List.of(kept))));
-        ManagerProcess manager = open(new ManagerProcess(folder.resolve("m" + self), self, fronts, feed.address(),
-                "discovery: snapshot: {dir: \"" + snapshots(self) + "\", every: 200ms}", known));
+    /** Starts a manager whose snapshot folder holds a list of these engines. */
+    private ManagerProcess startManager(int frontIndex, int frontCount, String initialEvents, Remembered... stored)
+            throws IOException {
+        Files.createDirectories(snapshotFolder(frontIndex));
+        Files.write(snapshotFolder(frontIndex).resolve("list-0000000000000007.snap"),
+                SnapshotCodec.encode(new Snapshot(unixMicros(), List.of(stored))));
+        ManagerProcess manager = closeAfterTest(new ManagerProcess(folder.resolve("m" + frontIndex), frontIndex,
+                frontCount, feed.address(),
+                "discovery: snapshot: {dir: \"" + snapshotFolder(frontIndex) + "\", every: 200ms}", initialEvents));
         manager.start();
         return manager;
     }
 
-    private ManagerProcess manager(Remembered... kept) throws IOException {
-        return manager(0, 1, "{\"n\": 0, \"events\": []}", kept);
+    private ManagerProcess startManager(Remembered... stored) throws IOException {
+        return startManager(0, 1, "{\"n\": 0, \"events\": []}", stored);
     }
 
-    private static void until(BooleanSupplier held) throws InterruptedException {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(LIMIT_S);
-        while (!held.getAsBoolean()) {
-            assertTrue(System.nanoTime() < end, "it never came");
+    private static void awaitCondition(BooleanSupplier condition) throws InterruptedException {
+        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
+        while (!condition.getAsBoolean()) {
+            assertTrue(System.nanoTime() < deadline, "timed out");
             TimeUnit.MILLISECONDS.sleep(2);
         }
     }
 
-    private StandInClient client(ManagerProcess manager) throws IOException, InterruptedException {
-        ReadinessCheck.await(manager.port(), LIMIT_S);
-        return open(new StandInClient(manager.port(), answers::add));
+    private StandInClient connect(ManagerProcess manager) throws IOException, InterruptedException {
+        ReadinessCheck.await(manager.port(), TIMEOUT_SECONDS);
+        return closeAfterTest(new StandInClient(manager.port(), answers::add));
     }
 
-    private StandInClient.Answer ask(StandInClient client, String type) throws Exception {
-        client.send(type, String.format("%016x", ++calls), type.equals("load") ? "00000000000000aa" : null, 7_000, 20);
-        StandInClient.Answer answer = answers.poll(LIMIT_S, TimeUnit.SECONDS);
+    private StandInClient.Answer sendAndAwait(StandInClient client, String requestClass) throws Exception {
+        client.send(requestClass, String.format("%016x", ++requestCount),
+                requestClass.equals("load") ? "00000000000000aa" : null, 7_000, 20);
+        StandInClient.Answer answer = answers.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         assertTrue(answer != null, "no answer");
         return answer;
     }
 
-    private void served(StandInClient client, int count) throws Exception {
+    private void assertServes(StandInClient client, int count) throws Exception {
         for (int i = 0; i < count; i++) {
-            assertEquals(1, ask(client, "lookup").code(), "request " + i);
+            assertEquals(1, sendAndAwait(client, "lookup").code(), "request " + i);
         }
     }
 
-    private static Map<String, State> last(Path snapshots) throws Exception {
-        try (Stream<Path> files = Files.list(snapshots)) {
+    private static Map<String, State> storedStates(Path snapshotFolder) throws Exception {
+        try (Stream<Path> files = Files.list(snapshotFolder)) {
             Path newest = files.filter(f -> f.toString().endsWith(".snap")).sorted().reduce((a, b) -> b).orElseThrow();
             return SnapshotCodec.decode(Files.readAllBytes(newest)).engines().stream()
-                    .collect(Collectors.toMap(each -> each.engine().id(), Remembered::last));
+                    .collect(Collectors.toMap(stored -> stored.engine().id(), Remembered::last));
         }
     }
 
     @Test
-    void withTheFeedDownForGoodItServesFromTheKeptListAndSoDoesItsNextStart() throws Exception {
-        StandInRespEngine one = engine();
-        ManagerProcess manager = manager(kept("e1", one));
-        served(client(manager), 10);
+    void servesFromStoredListWhileFeedIsDownAlsoAfterRestart() throws Exception {
+        StandInRespEngine engine = startEngine();
+        ManagerProcess manager = startManager(stored("e1", engine));
+        assertServes(connect(manager), 10);
         assertEquals(0, manager.stop());
-        assertEquals(Map.of("e1", State.ALIVE), last(snapshots(0)));
+        assertEquals(Map.of("e1", State.ALIVE), storedStates(snapshotFolder(0)));
         manager.start();
-        served(client(manager), 10);
+        assertServes(connect(manager), 10);
         assertEquals(List.of(), feed.subscriptions());
         assertTrue(manager.readLog().contains("event=snapshot.restored engines=1"), manager.readLog());
         assertEquals(0, manager.stop());
     }
 
-    /** The first number asked of a feed is 0 whatever was kept; what drained and ended meanwhile gets nothing after 1 s. */
+    /**
+     * The first subscription starts at event 0 whatever list was stored. Engines that began to drain or were removed while
+     * the feed was unreachable receive nothing more than 1 s after its first event.
+     */
     @Test
-    void drainsAndEndsThatHappenedMeanwhileAreKeptOnceTheFeedIsBack() throws Exception {
-        StandInRespEngine drained = engine();
-        StandInRespEngine ended = engine();
-        StandInRespEngine stays = engine();
-        StandInClient client = client(manager(kept("e1", drained), kept("e2", ended), kept("e3", stays)));
-        until(() -> {
+    void appliesDrainsAndRemovalsOnceFeedIsReachable() throws Exception {
+        StandInRespEngine draining = startEngine();
+        StandInRespEngine removed = startEngine();
+        StandInRespEngine remaining = startEngine();
+        StandInClient client = connect(startManager(
+                stored("e1", draining), stored("e2", removed), stored("e3", remaining)));
+        awaitCondition(() -> {
             try {
-                served(client, 1);
+                assertServes(client, 1);
             } catch (Exception e) {
                 throw new IllegalStateException(e);
             }
-            return !drained.received().isEmpty() && !ended.received().isEmpty() && !stays.received().isEmpty();
+            return !draining.received().isEmpty() && !removed.received().isEmpty() && !remaining.received().isEmpty();
         });
-        feed.publish(true, List.of(new StandInFeed.EngineEntry("e1", drained.address(), "terminating", 0),
-                new StandInFeed.EngineEntry("e3", stays.address(), "in_service", 0)));
+        feed.publish(true, List.of(new StandInFeed.EngineEntry("e1", draining.address(), "terminating", 0),
+                new StandInFeed.EngineEntry("e3", remaining.address(), "in_service", 0)));
         feed.goOnline();
-        until(() -> !feed.subscriptions().isEmpty());
-        long toldAt = System.nanoTime() / 1_000;
+        awaitCondition(() -> !feed.subscriptions().isEmpty());
+        long reportedAt = System.nanoTime() / 1_000;
         assertEquals("SUB 0", feed.subscriptions().get(0));
-        while (System.nanoTime() / 1_000 < toldAt + 2 * SECOND) {
-            served(client, 1);
+        while (System.nanoTime() / 1_000 < reportedAt + 2 * SECOND_MICROS) {
+            assertServes(client, 1);
         }
-        for (StandInRespEngine gone : List.of(drained, ended)) {
-            long lastSent = gone.received().stream().mapToLong(StandInRespEngine.Received::at).max().orElse(0);
-            assertTrue(lastSent <= toldAt + SECOND, "sent " + (lastSent - toldAt) + " us after it was told");
+        for (StandInRespEngine engine : List.of(draining, removed)) {
+            long lastSent = engine.received().stream().mapToLong(StandInRespEngine.ReceivedQuery::atMicros).max().orElse(0);
+            assertTrue(lastSent <= reportedAt + SECOND_MICROS, "sent " + (lastSent - reportedAt) + " us after the report");
         }
-        assertTrue(stays.received().stream().anyMatch(r -> r.at() > toldAt + SECOND));
+        assertTrue(remaining.received().stream().anyMatch(query -> query.atMicros() > reportedAt + SECOND_MICROS));
     }
 
     @Test
-    void whatWasDrainingWhenTheListWasKeptGetsNothing() throws Exception {
-        StandInRespEngine leaving = engine();
-        StandInRespEngine stays = engine();
-        StandInClient client = client(manager(kept("e1", leaving.address(), State.LEAVING, YEAR), kept("e2", stays)));
-        served(client, 20);
-        assertEquals(List.of(), leaving.received());
+    void sendsNothingToEngineStoredAsDraining() throws Exception {
+        StandInRespEngine draining = startEngine();
+        StandInRespEngine remaining = startEngine();
+        StandInClient client = connect(startManager(
+                stored("e1", draining.address(), State.LEAVING, YEAR_MICROS), stored("e2", remaining)));
+        assertServes(client, 20);
+        assertEquals(List.of(), draining.received());
     }
 
     @Test
-    void addressesThatAreNoEnginesAreToldApartAndNothingIsSentThere() throws Exception {
-        StandInRespEngine gone = engine();
-        gone.close();
-        StandInRespEngine silent = engine(Behavior.SILENT, false);
-        StandInRespEngine foreign = engine(Behavior.FOREIGN, false);
-        StandInRespEngine real = engine();
-        ManagerProcess manager = manager(kept("gone", gone), kept("silent", silent), kept("foreign", foreign),
-                kept("real", real));
-        StandInClient client = client(manager);
-        served(client, 30);
+    void detectsStoredAddressesThatAreNotEnginesAndSendsThemNothing() throws Exception {
+        StandInRespEngine stopped = startEngine();
+        stopped.close();
+        StandInRespEngine silent = startEngine(Behavior.SILENT, false);
+        StandInRespEngine foreign = startEngine(Behavior.FOREIGN, false);
+        StandInRespEngine real = startEngine();
+        ManagerProcess manager = startManager(stored("gone", stopped), stored("silent", silent),
+                stored("foreign", foreign), stored("real", real));
+        StandInClient client = connect(manager);
+        assertServes(client, 30);
         assertEquals(30, real.received().size());
-        until(() -> silent.connects() > 0 && foreign.connects() > 0);
+        awaitCondition(() -> silent.acceptedConnections() > 0 && foreign.acceptedConnections() > 0);
         assertEquals(0, manager.stop());
         assertEquals(Map.of("gone", State.ILL, "silent", State.ILL, "foreign", State.MISTAKEN, "real", State.ALIVE),
-                last(snapshots(0)));
+                storedStates(snapshotFolder(0)));
     }
 
     @Test
-    void anAddressThatNowBelongsToANewEngineServesUnderItsNewName() throws Exception {
-        StandInRespEngine next = engine(Behavior.ENGINE, true);
-        ManagerProcess manager = manager(kept("old", next));
-        StandInClient client = client(manager);
-        served(client, 5);
-        feed.publish(true, List.of(new StandInFeed.EngineEntry("new", next.address(), "in_service", System.currentTimeMillis())));
+    void servesReusedAddressUnderIdOfNewEngine() throws Exception {
+        StandInRespEngine successor = startEngine(Behavior.ENGINE, true);
+        ManagerProcess manager = startManager(stored("old", successor));
+        StandInClient client = connect(manager);
+        assertServes(client, 5);
+        feed.publish(true, List.of(new StandInFeed.EngineEntry("new", successor.address(), "in_service",
+                System.currentTimeMillis())));
         feed.goOnline();
-        until(() -> !feed.subscriptions().isEmpty());
-        served(client, 5);
+        awaitCondition(() -> !feed.subscriptions().isEmpty());
+        assertServes(client, 5);
         assertEquals(0, manager.stop());
-        assertEquals(Map.of("new", State.TOLD), last(snapshots(0)));
+        assertEquals(Map.of("new", State.TOLD), storedStates(snapshotFolder(0)));
     }
 
     @Test
-    void withEveryEntryStaleItServesAllTheSameOnceTheyHaveShownThemselves() throws Exception {
-        StandInRespEngine one = engine();
-        StandInRespEngine two = engine();
-        ManagerProcess manager = manager(kept("e1", one.address(), State.TOLD, YEAR),
-                kept("e2", two.address(), State.TOLD, 2 * YEAR));
-        served(client(manager), 20);
+    void servesFromStaleEntriesOnceEnginesAnswerProbes() throws Exception {
+        StandInRespEngine first = startEngine();
+        StandInRespEngine second = startEngine();
+        ManagerProcess manager = startManager(stored("e1", first.address(), State.TOLD, YEAR_MICROS),
+                stored("e2", second.address(), State.TOLD, 2 * YEAR_MICROS));
+        assertServes(connect(manager), 20);
     }
 
     @Test
-    void withNothingToBeReachedRequestsAreRefusedAtOnce() throws Exception {
-        StandInRespEngine gone = engine();
-        gone.close();
-        StandInClient client = client(manager(kept("e1", gone)));
+    void refusesRequestsEarlyWhenNoStoredEngineIsReachable() throws Exception {
+        StandInRespEngine stopped = startEngine();
+        stopped.close();
+        StandInClient client = connect(startManager(stored("e1", stopped)));
         for (int i = 0; i < 5; i++) {
-            StandInClient.Answer answer = ask(client, "report");
+            StandInClient.Answer answer = sendAndAwait(client, "report");
             assertEquals(0, answer.code());
-            assertTrue(answer.micros() < 3_500_000, "kept back for " + answer.micros() + " us of 7 s");
+            assertTrue(answer.latencyMicros() < 3_500_000, "refused only after " + answer.latencyMicros() + " us of 7 s");
         }
     }
 
     @Test
-    void whatTheConfigurationKnowsBeatsTheDisk() throws Exception {
-        StandInRespEngine onDisk = engine();
-        StandInRespEngine known = engine();
-        ManagerProcess manager = manager(0, 1, "{\"n\":3,\"events\":[{\"n\":3,\"members\":{\"seq\":3,\"whole\":true,\"hosts\":["
-                + new StandInFeed.EngineEntry("e2", known.address(), "in_service", 0).json() + "]}}]}", kept("e1", onDisk));
-        served(client(manager), 20);
+    void prefersEnginesOfConfigurationOverStoredList() throws Exception {
+        StandInRespEngine onDisk = startEngine();
+        StandInRespEngine configured = startEngine();
+        ManagerProcess manager = startManager(0, 1,
+                "{\"n\":3,\"events\":[{\"n\":3,\"members\":{\"seq\":3,\"whole\":true,\"hosts\":["
+                + new StandInFeed.EngineEntry("e2", configured.address(), "in_service", 0).json() + "]}}]}",
+                stored("e1", onDisk));
+        assertServes(connect(manager), 20);
         assertEquals(List.of(), onDisk.received());
         assertTrue(manager.readLog().contains("event=snapshot.unused"), manager.readLog());
         feed.publish(true, List.of());
         feed.goOnline();
-        until(() -> feed.subscriptions().contains("SUB 3"));
+        awaitCondition(() -> feed.subscriptions().contains("SUB 3"));
     }
 
     @Test
-    void aDamagedNewestListIsSkippedWithOneEventAndTheOlderOneServes() throws Exception {
-        StandInRespEngine one = engine();
-        Files.createDirectories(snapshots(0));
-        Files.write(snapshots(0).resolve("list-0000000000000009.snap"), new byte[] {'C', 'A', 'I', 'R', 7});
-        ManagerProcess manager = manager(kept("e1", one));
-        served(client(manager), 5);
+    void skipsDamagedNewestSnapshotAndUsesOlderOne() throws Exception {
+        StandInRespEngine engine = startEngine();
+        Files.createDirectories(snapshotFolder(0));
+        Files.write(snapshotFolder(0).resolve("list-0000000000000009.snap"), new byte[] {'C', 'A', 'I', 'R', 7});
+        ManagerProcess manager = startManager(stored("e1", engine));
+        assertServes(connect(manager), 5);
         assertEquals(1, manager.readLog().lines().filter(line -> line.contains("event=snapshot.skipped")).count(),
                 manager.readLog());
     }
 
-    /** The engine counts what it is sent in each window; all managers start in the same moment and know the same. */
+    /** All managers start at the same moment with the same stored list; the engine adds up the work of each window. */
     @Test
-    void threeManagersTogetherDoNotPushOneColdEngineOver() throws Exception {
-        StandInRespEngine cold = large(0, true);
-        List<SyntheticWorkload> mixes = new ArrayList<>();
-        for (int self = 0; self < 3; self++) {
-            manager(self, 3, "{\"n\": 0, \"events\": []}", kept("e1", cold));
+    void threeManagersTogetherDoNotOverloadColdEngine() throws Exception {
+        StandInRespEngine cold = startFullCostEngine(0, true);
+        List<SyntheticWorkload> workloads = new ArrayList<>();
+        for (int frontIndex = 0; frontIndex < 3; frontIndex++) {
+            startManager(frontIndex, 3, "{\"n\": 0, \"events\": []}", stored("e1", cold));
         }
-        List<Thread> loads = new ArrayList<>();
-        for (AutoCloseable each : opened) {
-            if (each instanceof ManagerProcess manager) {
-                ReadinessCheck.await(manager.port(), LIMIT_S);
-                SyntheticWorkload mix = new SyntheticWorkload(manager.port(), manager.port(), 1);
-                mixes.add(mix);
-                loads.add(new Thread(() -> {
+        List<Thread> threads = new ArrayList<>();
+        for (AutoCloseable resource : resources) {
+            if (resource instanceof ManagerProcess manager) {
+                ReadinessCheck.await(manager.port(), TIMEOUT_SECONDS);
+                SyntheticWorkload workload = new SyntheticWorkload(manager.port(), manager.port(), 1);
+                workloads.add(workload);
+                threads.add(new Thread(() -> {
                     try {
-                        // Far more than the cold engine's 5 cores can do.
-                        mix.send(500, 100);
-                        mix.await(LIMIT_S);
+                        // Far more work than the 5 cores of the cold engine can do.
+                        workload.send(500, 100);
+                        workload.await(TIMEOUT_SECONDS);
                     } catch (IOException | InterruptedException e) {
                         throw new IllegalStateException(e);
                     }
                 }));
             }
         }
-        loads.forEach(Thread::start);
-        for (Thread load : loads) {
-            load.join();
+        threads.forEach(Thread::start);
+        for (Thread thread : threads) {
+            thread.join();
         }
-        assertTrue(cold.highest() > 0.3 && cold.highest() < SHAPE.tipMultiple(), "highest " + cold.highest());
-        for (SyntheticWorkload mix : mixes) {
-            mix.close();
+        assertTrue(cold.peakColdLoad() > 0.3 && cold.peakColdLoad() < ENGINE_PARAMETERS.overloadMultiple(),
+                "peak load " + cold.peakColdLoad());
+        for (SyntheticWorkload workload : workloads) {
+            workload.close();
         }
     }
 
-    /** It dies under load and is back, cold, at its address; nobody tells. */
+    /** The engine crashes under load and restarts cold at its address, while the feed is unreachable. */
     @Test
-    void anEngineThatReturnsColdUnnoticedByTheFeedIsSparedAnew() throws Exception {
-        StandInRespEngine first = large(0, false);
-        ManagerProcess manager = manager(kept("e1", first));
-        ReadinessCheck.await(manager.port(), LIMIT_S);
-        SyntheticWorkload mix = new SyntheticWorkload(manager.port(), 5, 1);
-        mix.send(50, 50);
+    void doesNotOverloadEngineThatRestartedColdUnreported() throws Exception {
+        StandInRespEngine first = startFullCostEngine(0, false);
+        ManagerProcess manager = startManager(stored("e1", first));
+        ReadinessCheck.await(manager.port(), TIMEOUT_SECONDS);
+        SyntheticWorkload workload = new SyntheticWorkload(manager.port(), 5, 1);
+        workload.send(50, 50);
         first.close();
-        StandInRespEngine second = large(first.port(), true);
-        mix.send(250, 50);
-        mix.await(LIMIT_S);
-        assertTrue(second.highest() > 0.3 && second.highest() < SHAPE.tipMultiple(), "highest " + second.highest());
-        mix.close();
+        StandInRespEngine second = startFullCostEngine(first.port(), true);
+        workload.send(250, 50);
+        workload.await(TIMEOUT_SECONDS);
+        assertTrue(second.peakColdLoad() > 0.3 && second.peakColdLoad() < ENGINE_PARAMETERS.overloadMultiple(),
+                "peak load " + second.peakColdLoad());
+        workload.close();
     }
 }
--- a/src/test/java/cairnline/program/ODataContractTest.java
+++ b/src/test/java/cairnline/program/ODataContractTest.java
@@ -1,9 +1,9 @@
 package cairnline.program;
 
-/** The rule checks on this wire. */
+/** Runs the protocol contract against the OData front. */
 class ODataContractTest extends ProtocolContract {
     @Override
-    ProtocolFixture wire(int mostClients) {
-        return new ODataProtocolFixture(mostClients);
+    ProtocolFixture fixture(int maxClients) {
+        return new ODataProtocolFixture(maxClients);
     }
 }
--- a/src/test/java/cairnline/program/ODataProtocolFixture.java
+++ b/src/test/java/cairnline/program/ODataProtocolFixture.java
@@ -20,13 +20,13 @@
 import java.util.List;
 import java.util.Map;
 
-/** OData over HTTP/1.1 to clients and engines. */
+/** Uses OData over HTTP/1.1 towards clients and engines. */
 final class ODataProtocolFixture implements ProtocolFixture {
     static final ODataModel MODEL = new ODataModel(Map.of("Books",
             new ODataModel.EntitySet("Books", "lookup", "report", "load", "ID", "Edm.Int64", 17)));
     private final ConnectionBudget<PooledLink.Connection> connections = new ConnectionBudget<>(1_024, 20_000_000);
     private static final String JSON = "application/json";
-    private final int mostClients;
+    private final int maxClients;
     private final TestLoop loop = new TestLoop();
     private ODataFront front;
 
@@ -34,9 +34,9 @@
         this(Integer.MAX_VALUE);
     }
 
-    /** A front that takes so many clients at once. */
-    ODataProtocolFixture(int mostClients) {
-        this.mostClients = mostClients;
+    /** Limits the front to a number of concurrent client connections. */
+    ODataProtocolFixture(int maxClients) {
+        this.maxClients = maxClients;
     }
 
     @Override
@@ -45,42 +45,44 @@
     }
 
     @Override
-    public EngineLink link(ListedEngine engine, Core core, Configuration configuration, Clock clock) {
-        return new HttpLink(Configuration.parseAddress("dial", engine.address()), core, configuration.limits(),
+    public EngineLink createLink(ListedEngine engine, Core dispatcher, Configuration configuration, Clock clock) {
+        return new HttpLink(Configuration.parseAddress("dial", engine.address()), dispatcher, configuration.limits(),
                 loop.get(configuration, clock), connections);
     }
 
     @Override
-    public int start(Core core, Configuration configuration, Clock clock) throws IOException {
-        Listener listener = new Listener(configuration.listen(), Math.min(mostClients, configuration.limits().clients().connections()),
-                configuration.limits(), loop.get(configuration, clock), Events.NONE);
-        front = new ODataFront(listener, core, MODEL, configuration.patience(), configuration.limits(), Events.NONE);
+    public int startFront(Core dispatcher, Configuration configuration, Clock clock) throws IOException {
+        Listener listener = new Listener(configuration.listen(),
+                Math.min(maxClients, configuration.limits().clients().connections()), configuration.limits(),
+                loop.get(configuration, clock), Events.NONE);
+        front = new ODataFront(listener, dispatcher, MODEL, configuration.clientTimeouts(), configuration.limits(),
+                Events.NONE);
         front.start();
         return listener.port();
     }
 
     @Override
-    public void stopping() {
+    public void announceShutdown() {
         front.stopping();
     }
 
     @Override
-    public int connections() {
+    public int clientConnectionCount() {
         return front.connections();
     }
 
     @Override
-    public byte[] ask(Ask ask) {
+    public byte[] encodeRequest(Request request) {
         Map<String, String> headers = new LinkedHashMap<>();
         headers.put("host", "localhost");
-        headers.put("prefer", "wait=" + Math.max(1, ask.ttlMs() / 1000));
-        if (ask.key() == null) {
-            return HttpMessage.request("GET", "/Books(1)?r=" + ask.name(), headers, new byte[0]).bytes();
+        headers.put("prefer", "wait=" + Math.max(1, request.timeoutMillis() / 1000));
+        if (request.orderingKey() == null) {
+            return HttpMessage.request("GET", "/Books(1)?r=" + request.name(), headers, new byte[0]).bytes();
         }
         headers.put("content-type", JSON);
-        headers.put("repeatability-request-id", "key-of-" + ask.name());
+        headers.put("repeatability-request-id", "key-of-" + request.name());
         headers.put("repeatability-first-sent", "Tue, 01 Dec 2026 10:00:00 GMT");
-        return HttpMessage.request("PATCH", "/Books('" + ask.key() + "')?r=" + ask.name(), headers,
+        return HttpMessage.request("PATCH", "/Books('" + request.orderingKey() + "')?r=" + request.name(), headers,
                 "{}".getBytes(StandardCharsets.UTF_8)).bytes();
     }
 
@@ -89,18 +91,18 @@
         HttpDecoder decoder = new HttpDecoder(16_384, 1 << 20);
         return (bytes, count) -> {
             decoder.feed(bytes, count);
-            List<Heard> heard = new ArrayList<>();
-            for (HttpMessage m = decoder.next(); m != null; m = decoder.next()) {
-                String key = m.header("repeatability-request-id");
-                heard.add(new Heard(m.target().substring(m.target().indexOf("r=") + 2), "asked",
-                        key.isEmpty() ? "-" : key));
+            List<Message> messages = new ArrayList<>();
+            for (HttpMessage request = decoder.next(); request != null; request = decoder.next()) {
+                String idempotencyKey = request.header("repeatability-request-id");
+                messages.add(new Message(request.target().substring(request.target().indexOf("r=") + 2), "asked",
+                        idempotencyKey.isEmpty() ? "-" : idempotencyKey));
             }
-            return heard;
+            return messages;
         };
     }
 
     @Override
-    public byte[] reply(String name, String outcome, String row) {
+    public byte[] encodeAnswer(String requestName, String outcome, String row) {
         if (outcome.startsWith("next:") || outcome.equals("last")) {
             String link = outcome.equals("last") ? "" : ",\"@odata.nextLink\":\"/Books?r=" + outcome.substring(5) + "\"";
             return HttpMessage.response(200, JSON,
@@ -112,8 +114,8 @@
             case "error" -> 500;
             default -> throw new IllegalArgumentException(outcome);
         };
-        // The name comes back in a header of the answer's body, since HTTP answers bear no id.
-        byte[] body = ("{\"name\":\"" + name + "\",\"row\":\"" + row + "\"}").getBytes(StandardCharsets.UTF_8);
+        // The request's name is part of the body, since HTTP answers carry no request id.
+        byte[] body = ("{\"name\":\"" + requestName + "\",\"row\":\"" + row + "\"}").getBytes(StandardCharsets.UTF_8);
         return HttpMessage.response(status, JSON, body).bytes();
     }
 
@@ -122,20 +124,21 @@
         HttpDecoder decoder = new HttpDecoder(16_384, 1 << 20);
         return (bytes, count) -> {
             decoder.feed(bytes, count);
-            List<Heard> heard = new ArrayList<>();
-            for (HttpMessage m = decoder.next(); m != null; m = decoder.next()) {
-                String body = new String(m.body(), StandardCharsets.UTF_8);
-                String outcome = m.status() < 400 ? "served" : m.status() == 503 ? "refused" : "failed";
-                boolean named = m.status() < 400;
-                heard.add(new Heard(named ? between(body, "\"name\":\"") : "-", outcome,
-                        named ? between(body, "\"row\":\"") : "-"));
+            List<Message> messages = new ArrayList<>();
+            for (HttpMessage answer = decoder.next(); answer != null; answer = decoder.next()) {
+                String body = new String(answer.body(), StandardCharsets.UTF_8);
+                String outcome = answer.status() < 400 ? "served" : answer.status() == 503 ? "refused" : "failed";
+                boolean served = answer.status() < 400;
+                messages.add(new Message(served ? textAfter(body, "\"name\":\"") : "-", outcome,
+                        served ? textAfter(body, "\"row\":\"") : "-"));
             }
-            return heard;
+            return messages;
         };
     }
 
-    private static String between(String body, String start) {
-        int at = body.indexOf(start) + start.length();
-        return body.substring(at, body.indexOf('"', at));
+    /** Returns the text from the end of {@code prefix} to the next quotation mark. */
+    private static String textAfter(String body, String prefix) {
+        int start = body.indexOf(prefix) + prefix.length();
+        return body.substring(start, body.indexOf('"', start));
     }
 }
--- a/src/test/java/cairnline/program/ODataProtocolTest.java
+++ b/src/test/java/cairnline/program/ODataProtocolTest.java
@@ -2,7 +2,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** What only OData has: its documents, its errors and its batches. */
+/** Tests what only OData has: its documents, error bodies and batches. */
 class ODataProtocolTest {
     private static final String HOST = "HTTP/1.1\\r\\nHost: x\\r\\n";
 
@@ -23,8 +23,8 @@
                 "{\"requests\":[" + String.join(",", requests) + "]}");
     }
 
-    private static String read(String id, String name, String more) {
-        return "{\"id\":\"%s\",\"method\":\"GET\",\"url\":\"Books(1)?r=%s\"%s}".formatted(id, name, more);
+    private static String read(String id, String name, String moreMembers) {
+        return "{\"id\":\"%s\",\"method\":\"GET\",\"url\":\"Books(1)?r=%s\"%s}".formatted(id, name, moreMembers);
     }
 
     private static String write(String id, String name, String key) {
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void theDocumentsAreServedOnOneConnection() throws Exception {
+    void servesServiceAndMetadataDocumentsOnOneConnection() throws Exception {
         play("""
                 client a text %s
                 client a hear HTTP/1.1 200 OK
@@ -46,8 +46,8 @@
     }
 
     @Test
-    void badInputIsToldByItsStatusAndAStandardBody() throws Exception {
-        String[][] bad = {
+    void answersInvalidRequestsWithStatusAndErrorBody() throws Exception {
+        String[][] requestsAndStatuses = {
             {get("/Nothing"), "404"}, {get("/Books()"), "400"}, {get("/Books(%zz)"), "400"},
             {get("/Books?$format=xml"), "406"}, {"OPTIONS /Books " + HOST + "\\r\\n", "501"},
             {"PATCH /Books " + HOST + "\\r\\n", "405"}, {"GET / HTTP/1.1\\r\\n\\r\\n", "400"},
@@ -60,7 +60,7 @@
             {batch("", "{\"id\":\"1\",\"method\":\"GET\",\"url\":\"Books(1) HTTP/1.1\\nX: y\"}"), "400"},
             {batch("", read("1", "r1", ",\"headers\":{\"accept\":\"*/*\\nX: y\"}")), "400"},
             {post("/$batch", "Content-Type: text/plain\\r\\n", ""), "415"}, {"nonsense\\r\\n\\r\\n", "400"}};
-        for (String[] each : bad) {
+        for (String[] each : requestsAndStatuses) {
             play("""
                     client a text %s
                     client a hear HTTP/1.1 %s
@@ -69,7 +69,7 @@
     }
 
     @Test
-    void refusedAndFailedRequestsBearTheirStatus() throws Exception {
+    void answersRefusedAndFailedRequestsWithStatus() throws Exception {
         play("""
                 list e1 draining
                 client a text %s
@@ -86,8 +86,8 @@
     }
 
     @Test
-    void aBatchAnswersInItsOrderAndALoadKeepsItsPlaceAmongLookups() throws Exception {
-        // r2 changes what r1 reads and r3 reads again; r4 touches another entity and need not wait.
+    void runsBatchWriteBetweenReadsOfSameEntityAndAnswersInOrder() throws Exception {
+        // r2 writes the entity that r1 and r3 read, so it runs between them; r4 reads another entity and does not wait.
         play("""
                 list e1 ready
                 client a text %s
@@ -109,12 +109,12 @@
     }
 
     @Test
-    void aBatchStopsAtItsFirstErrorUnlessToldToGoOn() throws Exception {
-        String missing = "{\"id\":\"1\",\"method\":\"GET\",\"url\":\"Nothing\"}";
+    void stopsBatchAtFirstErrorUnlessContinueOnErrorIsPreferred() throws Exception {
+        String unknownSet = "{\"id\":\"1\",\"method\":\"GET\",\"url\":\"Nothing\"}";
         play("""
                 client a text %s
                 client a hear {"responses":[{"id":"1","status":404
-                client a hear }]}""".formatted(batch("", missing, read("2", "r2", ""))));
+                client a hear }]}""".formatted(batch("", unknownSet, read("2", "r2", ""))));
         play("""
                 list e1 ready
                 client a text %s
@@ -122,13 +122,13 @@
                 engine send r3 ok three
                 client a hear "id":"1","status":404
                 client a hear "id":"2","status":424
-                client a hear "id":"3","status":200""".formatted(batch("Prefer: continue-on-error\\r\\n", missing,
+                client a hear "id":"3","status":200""".formatted(batch("Prefer: continue-on-error\\r\\n", unknownSet,
                 read("2", "r2", ",\"dependsOn\":[\"1\"]"), read("3", "r3", ""))));
     }
 
     @Test
-    void anAtomicityGroupThatCannotBeHonouredIsRefusedWhole() throws Exception {
-        // That none of it ran is shown by what the engine gets next.
+    void rejectsAllRequestsOfAtomicityGroup() throws Exception {
+        // That no part of the group ran shows in what the engine receives next: r3.
         play("""
                 list e1 ready
                 client a text %s
@@ -144,7 +144,7 @@
     }
 
     @Test
-    void aMultipartBatchIsServedInItsOrder() throws Exception {
+    void servesMultipartBatchInOrder() throws Exception {
         String part = "--b\\r\\nContent-Type: application/http\\r\\nContent-ID: %s\\r\\n\\r\\n%s\\r\\n";
         String body = part.formatted("1", "GET Books(1)?r=r1 HTTP/1.1\\r\\n\\r\\n")
                 + part.formatted("2", "PATCH /Books(1)?r=r2 HTTP/1.1\\r\\nContent-Type: application/json\\r\\n\\r\\n{}")
@@ -167,8 +167,8 @@
     }
 
     @Test
-    void aClientThatHangsUpInABatchLeavesNothingOpen() throws Exception {
-        // The load that waits behind the lookup must not go once its client has left.
+    void abandonsBatchOfDisconnectedClient() throws Exception {
+        // The load that waits for the lookup must not be sent after its client has disconnected.
         play("""
                 list e1 ready
                 client a text %s
@@ -184,7 +184,7 @@
     }
 
     @Test
-    void allPagesAreFetchedBeforeTheAnswerAndALostOneFailsIt() throws Exception {
+    void fetchesAllPagesBeforeAnsweringAndRetriesAfterPageIsLost() throws Exception {
         play("""
                 list e1 ready
                 client a text %s
@@ -204,7 +204,7 @@
     }
 
     @Test
-    void requestsThatAreSentAheadAreAnsweredInOrder() throws Exception {
+    void answersPipelinedRequestsInOrder() throws Exception {
         play("""
                 list e1 ready
                 client a text %s
--- a/src/test/java/cairnline/program/PlatformContractTest.java
+++ b/src/test/java/cairnline/program/PlatformContractTest.java
@@ -1,9 +1,9 @@
 package cairnline.program;
 
-/** The rule checks on this wire. */
+/** Runs the protocol contract against the platform's protocol. */
 class PlatformContractTest extends ProtocolContract {
     @Override
-    ProtocolFixture wire(int mostClients) {
-        return new PlatformProtocolFixture(mostClients);
+    ProtocolFixture fixture(int maxClients) {
+        return new PlatformProtocolFixture(maxClients);
     }
 }
--- a/src/test/java/cairnline/program/PlatformProtocolTest.java
+++ b/src/test/java/cairnline/program/PlatformProtocolTest.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What only the platform's protocol has: pages, streams, and its own ways to be wrong. */
+/** Tests what only the platform's protocol has: pages, streams, status updates, and its kinds of malformed input. */
 class PlatformProtocolTest {
     private static void play(String steps) throws Exception {
         Scenario.play(new PlatformProtocolFixture(), steps);
@@ -16,7 +16,7 @@
     }
 
     @Test
-    void pagesAreJoinedInOrderHoweverTheyCome() throws Exception {
+    void joinsPagesInOrderWhenTheyArriveOutOfOrder() throws Exception {
         play("""
                 list e1 ready
                 client a send lookup r1
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void aSecondCopyOfAnAnswerOrAPageIsNoError() throws Exception {
+    void ignoresDuplicateAnswersAndPages() throws Exception {
         play("""
                 list e1 ready
                 client a send lookup r1
@@ -47,8 +47,8 @@
     }
 
     @Test
-    void whatIsSpoiltIsNotPassedOnAndItsConnectionNotUsedFurther() throws Exception {
-        for (String spoilt : new String[] {"noise x", "pages:900 a", "page:1 b", "ok a\tb\tc", "half a"}) {
+    void discardsMalformedAnswerAndItsConnection() throws Exception {
+        for (String malformed : new String[] {"noise x", "pages:900 a", "page:1 b", "ok a\tb\tc", "half a"}) {
             play("""
                     list e1 ready
                     client a send lookup r1
@@ -56,14 +56,14 @@
                     engine send r1 %s
                     engine expect r1
                     engine send r1 ok good
-                    client a expect r1 served good""".formatted(spoilt));
+                    client a expect r1 served good""".formatted(malformed));
         }
     }
 
     @Test
-    void aConnectionOnWhichAnEngineTellsNothingIsLeft() throws Exception {
-        // Notes are due every second for each request that runs: without any of them its answer will not come either,
-        // and what is too late for another attempt is answered long before its time is up.
+    void closesConnectionWithoutStatusUpdates() throws Exception {
+        // Engines send a status update every second for each running request. Without any, no answer is to be expected
+        // either, and a request that has no time left for another attempt is answered well before its deadline.
         play("""
                 engine mute
                 list e1 ready
@@ -73,8 +73,8 @@
     }
 
     @Test
-    void aConnectionThatEndedWhileNothingWasOpenTakesNoRequestAlong() throws Exception {
-        // Of one that is written there nobody could tell that it did not run.
+    void sendsNoRequestOnConnectionClosedWhileIdle() throws Exception {
+        // If r2 were written to the closed connection, it could not be known whether it ran.
         play("""
                 list e1 ready
                 client a send once r1
@@ -89,7 +89,7 @@
     }
 
     @Test
-    void aLostPageIsAnErrorThatMayHaveRun() throws Exception {
+    void retriesWithSameKeyAfterPageIsLost() throws Exception {
         play("""
                 list e1 ready
                 list e2 ready
@@ -104,8 +104,8 @@
     }
 
     @Test
-    void pagesThatNobodyWantsAreForgotten() throws Exception {
-        // The second request passes the core after the hang-up, so that is known when the first answer comes.
+    void releasesPagesOfAbandonedRequest() throws Exception {
+        // The dispatcher handles r2 after the disconnect, so the disconnect has been processed when the answer to r1 arrives.
         play("""
                 list e1 ready
                 client a send lookup r1
@@ -121,7 +121,7 @@
     }
 
     @Test
-    void theAnswerToAnEarlierAttemptIsNotTakenForALaterOnes() throws Exception {
+    void ignoresAnswerToEarlierAttempt() throws Exception {
         play("""
                 list e1 ready
                 client a send lookup r1
@@ -139,8 +139,8 @@
     }
 
     @Test
-    void anEngineIsToldOfTheAttemptThatIsGivenUp() throws Exception {
-        // Without it the attempt counts as out, and the next load of its key as sent too early.
+    void cancelsAbandonedAttemptAtEngine() throws Exception {
+        // Without the cancellation the attempt counts as running, and the next load of its key as sent too early.
         play("""
                 list e1 ready
                 client a send load r1 k 1500
@@ -154,8 +154,8 @@
     }
 
     @Test
-    void aRequestWithAKeyHasAllOfItsTime() throws Exception {
-        // It once was answered up to a second earlier, for a client that may have held it back.
+    void givesRequestWithKeyItsFullTimeout() throws Exception {
+        // Regression: such requests were answered up to a second early, to allow for clients that had delayed them.
         play("""
                 list e1 ready
                 client a send load r1 k 2500
@@ -167,7 +167,7 @@
     }
 
     @Test
-    void aWithdrawnRequestGetsNoAnswer() throws Exception {
+    void sendsNoAnswerToCancelledRequest() throws Exception {
         play("""
                 list e1 ready
                 client a send lookup r1
@@ -182,7 +182,7 @@
     }
 
     @Test
-    void framesThatCannotBeReadEndTheirConnectionAndNoOther() throws Exception {
+    void closesOnlyConnectionOfMalformedFrame() throws Exception {
         for (String frame : new String[] {"00000004", "00040001", "ffffffff", "000000050300000001"}) {
             play("""
                     list e1 ready
@@ -197,10 +197,10 @@
     }
 
     @Test
-    void openRequestsAreAnsweredThoughWhatFollowsThemCannotBeRead() throws Exception {
-        // Length too small, too large, a type that is not a client's, a stream that was used.
-        String used = request(1, Map.of("op", "lookup", "ttl", "1000", "call", "9b1f03aa5c7e2d41"));
-        for (String frame : new String[] {"00000004", "00040001", "ffffffff", "000000050300000001", used}) {
+    void answersOpenRequestsBeforeClosingAfterMalformedFrame() throws Exception {
+        // Lengths too small and too large, a frame type that clients must not send, a stream number already in use.
+        String reusedStream = request(1, Map.of("op", "lookup", "ttl", "1000", "call", "9b1f03aa5c7e2d41"));
+        for (String frame : new String[] {"00000004", "00040001", "ffffffff", "000000050300000001", reusedStream}) {
             play("""
                     list e1 ready
                     client a send lookup r1
@@ -218,7 +218,7 @@
     }
 
     @Test
-    void openRequestsAreAnsweredThoughTheFrameBehindThemIsNeverWhole() throws Exception {
+    void answersOpenRequestsBeforeClosingAfterIncompleteFrame() throws Exception {
         play("""
                 list e1 ready
                 client a send lookup r1
@@ -232,7 +232,7 @@
     }
 
     @Test
-    void openRequestsAreAnsweredAfterTheirClientHasHalfClosed() throws Exception {
+    void answersOpenRequestsAfterClientHalfCloses() throws Exception {
         play("""
                 list e1 ready
                 client a send lookup r1
@@ -250,8 +250,8 @@
     }
 
     @Test
-    void aNewStreamMayHaveASmallerNumberThanAnEarlierOne() throws Exception {
-        String seven = request(7, Map.of("op", "nosuch", "ttl", "1000", "call", "9b1f03aa5c7e2d47"));
+    void acceptsStreamNumberBelowEarlierOne() throws Exception {
+        String streamSeven = request(7, Map.of("op", "nosuch", "ttl", "1000", "call", "9b1f03aa5c7e2d47"));
         play("""
                 list e1 ready
                 client a raw %s
@@ -260,11 +260,11 @@
                 engine expect r1
                 engine send r1 ok one
                 client a expect - failed
-                client a expect r1 served one""".formatted(seven));
+                client a expect r1 served one""".formatted(streamSeven));
     }
 
     @Test
-    void aFrameCutShortIsToldBeforeTheConnectionEnds() throws Exception {
+    void reportsTruncatedFrameBeforeClosing() throws Exception {
         play("""
                 client a raw 000000ff00
                 client a finish
@@ -274,7 +274,7 @@
     }
 
     @Test
-    void halfAFrameIsAnsweredThoughItsClientStays() throws Exception {
+    void reportsIncompleteFrameAfterTimeout() throws Exception {
         play("""
                 client a raw 000000ff00
                 client a hear no whole frame in time
@@ -283,16 +283,17 @@
     }
 
     @Test
-    void whatCannotBeReadIsNotReadForEver() throws Exception {
+    void stopsReadingAfterMalformedFrame() throws Exception {
         play("""
                 client a raw ffffffff
                 client a flood""");
     }
 
     @Test
-    void theIdOfAnOpenRequestServesNoOther() throws Exception {
-        // Engines know requests by their id: two would share their answers.
-        String other = request(1, Map.of("op", "lookup", "ttl", "1000", "call", PlatformProtocolFixture.id("r1")));
+    void rejectsIdOfOpenRequest() throws Exception {
+        // Engines identify requests by id only, so two requests with one id would share their answers.
+        String duplicate = request(1,
+                Map.of("op", "lookup", "ttl", "1000", "call", PlatformProtocolFixture.requestId("r1")));
         play("""
                 list e1 ready
                 client a send lookup r1
@@ -300,11 +301,11 @@
                 client b raw %s
                 client b expect r1 failed
                 engine send r1 ok one
-                client a expect r1 served one""".formatted(other));
+                client a expect r1 served one""".formatted(duplicate));
     }
 
     @Test
-    void fieldsThatCannotBeUsedFailTheirRequestOnly() throws Exception {
+    void failsOnlyRequestsWithInvalidFields() throws Exception {
         play("""
                 list e1 ready
                 client a send nosuch r1
@@ -324,7 +325,7 @@
     }
 
     @Test
-    void theThirtyThirdOpenRequestIsRefused() throws Exception {
+    void refusesThirtyThirdOpenRequestOfConnection() throws Exception {
         StringBuilder steps = new StringBuilder("list e1 ready\n");
         for (int i = 1; i <= 32; i++) {
             steps.append("client a send load r").append(i).append(" k\n");
@@ -335,8 +336,8 @@
     }
 
     @Test
-    void readinessNeedsTheListAndEndsWithTheProgram() throws Exception {
-        String question = "00000006060000000700";
+    void isReadyOnlyBetweenFirstEngineListAndShutdown() throws Exception {
+        String readinessRequest = "00000006060000000700";
         play("""
                 client a raw %s
                 client a expect - ready0
@@ -350,6 +351,6 @@
                 wait stopped
                 client a hear %s
                 client a raw %s
-                client a expect - ready0""".formatted(question, question, "\u0005\t\u0000", question));
+                client a expect - ready0""".formatted(readinessRequest, readinessRequest, "\u0005\t\u0000", readinessRequest));
     }
 }
--- a/src/test/java/cairnline/program/ProgramTest.java
+++ b/src/test/java/cairnline/program/ProgramTest.java
@@ -19,14 +19,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The program as its operators start it: a process, its environment, its exit codes, its feed. */
+/** Tests the program as a process, as operators run it: environment, exit codes, control feed and signals. */
 class ProgramTest {
-    private static final long LIMIT_S = 30;
+    private static final long TIMEOUT_SECONDS = 30;
 
     @TempDir
     Path folder;
 
-    private record Ended(int code, String output) { }
+    private record ExitResult(int code, String output) { }
 
     private Process start(String config, String... args) throws IOException {
         List<String> command = new ArrayList<>(List.of("java", "-XX:TieredStopAtLevel=1", "-cp",
@@ -41,155 +41,156 @@
         return builder.start();
     }
 
-    private static Ended end(Process process) throws IOException, InterruptedException {
-        assertTrue(process.waitFor(LIMIT_S, TimeUnit.SECONDS), "it goes on");
-        return new Ended(process.exitValue(),
+    private static ExitResult awaitExit(Process process) throws IOException, InterruptedException {
+        assertTrue(process.waitFor(TIMEOUT_SECONDS, TimeUnit.SECONDS), "the process is still running");
+        return new ExitResult(process.exitValue(),
                 new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8).strip());
     }
 
-    private static String config(int port, int feed) throws IOException {
+    private static String configJson(int port, int feedPort) throws IOException {
         return new String(ProgramTest.class.getResourceAsStream("/config.json").readAllBytes(),
                 StandardCharsets.UTF_8).replace("127.0.0.1:0", "127.0.0.1:" + port)
-                .replace("127.0.0.1:1\"", "127.0.0.1:" + feed + "\"");
+                .replace("127.0.0.1:1\"", "127.0.0.1:" + feedPort + "\"");
     }
 
-    private static String line(Socket socket) throws IOException {
-        return line(socket.getInputStream());
+    private static String readLine(Socket socket) throws IOException {
+        return readLine(socket.getInputStream());
     }
 
-    private static String line(InputStream in) throws IOException {
+    private static String readLine(InputStream in) throws IOException {
         StringBuilder line = new StringBuilder();
         for (int c = in.read(); c != '\n'; c = in.read()) {
-            assertTrue(c >= 0, "it ended after: " + line);
+            assertTrue(c >= 0, "end of stream after: " + line);
             line.append((char) c);
         }
         return line.toString();
     }
 
     @Test
-    void aBadConfigurationIsOneLineAndExitCodeTwo() throws Exception {
-        Ended ended = end(start("{\"listen\":7}", "serve"));
-        assertEquals(new Ended(2, "cairnline: listen: is missing or is not text"), ended);
-        Ended unread = end(start("{", "serve"));
-        assertEquals(2, unread.code());
-        assertTrue(unread.output().startsWith("cairnline: ROUTER_CONFIG"), unread.output());
+    void reportsInvalidConfigurationInOneLineAndExitsWithTwo() throws Exception {
+        ExitResult invalidValue = awaitExit(start("{\"listen\":7}", "serve"));
+        assertEquals(new ExitResult(2, "cairnline: listen: is missing or is not text"), invalidValue);
+        ExitResult invalidJson = awaitExit(start("{", "serve"));
+        assertEquals(2, invalidJson.code());
+        assertTrue(invalidJson.output().startsWith("cairnline: ROUTER_CONFIG"), invalidJson.output());
     }
 
     @Test
-    void theAdapterEndsWithItsInput() throws Exception {
+    void simulatorAdapterExitsAtEndOfInput() throws Exception {
         Process process = start(null, "simhost");
         process.getOutputStream().write("TURN atTimeNs=5\nGO\n".getBytes(StandardCharsets.UTF_8));
         process.getOutputStream().close();
-        assertEquals(new Ended(0, "OK"), end(process));
+        assertEquals(new ExitResult(0, "OK"), awaitExit(process));
     }
 
-    /** The feed is resumed after the last event, and SIGTERM ends in exit code 0 with clients told. */
+    /** The feed is resumed after the last event; on SIGTERM clients are notified and the exit code is 0. */
     @Test
-    void theFeedIsFollowedAndResumedAndTheProgramStops() throws Exception {
+    void resumesFeedAfterReconnectAndExitsOnSigterm() throws Exception {
         int port;
-        try (ServerSocket any = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            port = any.getLocalPort();
+        try (ServerSocket unused = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            port = unused.getLocalPort();
         }
-        try (ServerSocket feed = listening()) {
-            Process process = start(config(port, feed.getLocalPort()), "serve");
+        try (ServerSocket feed = listen()) {
+            Process process = start(configJson(port, feed.getLocalPort()), "serve");
             try (Socket first = feed.accept()) {
-                assertEquals("SUB 0", line(first));
-                first.getOutputStream().write(event(1));
+                assertEquals("SUB 0", readLine(first));
+                first.getOutputStream().write(feedEvent(1));
                 first.getOutputStream().write("7\n".getBytes(StandardCharsets.US_ASCII));
             }
             try (Socket second = feed.accept(); Socket client = new Socket(InetAddress.getLoopbackAddress(), port)) {
-                // The bare number is no event that was had, and the one before the break was.
-                assertEquals("SUB 1", line(second));
-                client.setSoTimeout((int) TimeUnit.SECONDS.toMillis(LIMIT_S));
+                // The bare number 7 is a heartbeat and counts for nothing; event 1 was received before the disconnect.
+                assertEquals("SUB 1", readLine(second));
+                client.setSoTimeout((int) TimeUnit.SECONDS.toMillis(TIMEOUT_SECONDS));
                 client.getOutputStream().write(ClientFrames.frame(ClientFrames.READY_QUESTION, 1, new byte[] {0}));
-                assertEquals("7 1", frame(client));
+                assertEquals("7 1", readFrame(client));
                 process.toHandle().destroy();
-                assertEquals("9 -", frame(client));
+                assertEquals("9 -", readFrame(client));
             }
-            assertEquals(0, end(process).code());
+            assertEquals(0, awaitExit(process).code());
         }
     }
 
-    /** SIGHUP, more than once: the numbers go on at the new address, and a bad file changes nothing. */
+    /** Several SIGHUPs: event numbers continue at the new feed address, and an invalid file changes nothing. */
     @Test
-    void theConfigurationIsReadAgainOnSighup() throws Exception {
-        try (ServerSocket old = listening(); ServerSocket next = listening()) {
-            Process process = start(config(0, old.getLocalPort()), "serve");
-            try (Socket first = old.accept()) {
-                assertEquals("SUB 0", line(first));
-                first.getOutputStream().write(event(1));
-                Files.writeString(folder.resolve("config.json"), config(0, next.getLocalPort()));
-                hangUp(process);
-                try (Socket second = next.accept()) {
-                    assertEquals("SUB 1", line(second));
-                    assertEquals(-1, first.getInputStream().read(), "it is still at the old address");
+    void reloadsConfigurationOnSighup() throws Exception {
+        try (ServerSocket oldFeed = listen(); ServerSocket newFeed = listen()) {
+            Process process = start(configJson(0, oldFeed.getLocalPort()), "serve");
+            try (Socket first = oldFeed.accept()) {
+                assertEquals("SUB 0", readLine(first));
+                first.getOutputStream().write(feedEvent(1));
+                Files.writeString(folder.resolve("config.json"), configJson(0, newFeed.getLocalPort()));
+                sendSighup(process);
+                try (Socket second = newFeed.accept()) {
+                    assertEquals("SUB 1", readLine(second));
+                    assertEquals(-1, first.getInputStream().read(), "still connected to the old address");
                     Files.writeString(folder.resolve("config.json"), "{");
-                    hangUp(process);
-                    String log = line(process);
-                    while (!log.startsWith("cairnline: the old configuration stays: ROUTER_CONFIG")) {
-                        log = line(process);
+                    sendSighup(process);
+                    String logLine = readLine(process);
+                    while (!logLine.startsWith("cairnline: the old configuration stays: ROUTER_CONFIG")) {
+                        logLine = readLine(process);
                     }
-                    second.getOutputStream().write(event(2));
-                    Files.writeString(folder.resolve("config.json"), config(0, old.getLocalPort()));
-                    hangUp(process);
-                    try (Socket third = old.accept()) {
-                        assertEquals("SUB 2", line(third));
+                    second.getOutputStream().write(feedEvent(2));
+                    Files.writeString(folder.resolve("config.json"), configJson(0, oldFeed.getLocalPort()));
+                    sendSighup(process);
+                    try (Socket third = oldFeed.accept()) {
+                        assertEquals("SUB 2", readLine(third));
                     }
                 }
             } finally {
                 process.toHandle().destroy();
             }
-            assertEquals(0, end(process).code());
+            assertEquals(0, awaitExit(process).code());
         }
     }
 
-    /** A feed that stops within a line and drips on must be left, though something always comes. */
+    /** A feed that never completes a line must be disconnected, although it keeps sending single bytes. */
     @Test
-    void aFeedThatDripsIsLeftAndResumed() throws Exception {
-        try (ServerSocket feed = listening()) {
-            Process process = start(config(0, feed.getLocalPort()), "serve");
+    void reconnectsToFeedThatNeverCompletesLine() throws Exception {
+        try (ServerSocket feed = listen()) {
+            Process process = start(configJson(0, feed.getLocalPort()), "serve");
             try (Socket first = feed.accept()) {
-                assertEquals("SUB 0", line(first));
-                first.getOutputStream().write(event(1));
+                assertEquals("SUB 0", readLine(first));
+                first.getOutputStream().write(feedEvent(1));
                 first.setSoTimeout(100);
-                for (int drip = 0; drip >= 0;) {
+                for (int lastRead = 0; lastRead >= 0;) {
                     try {
-                        drip = first.getInputStream().read();
+                        lastRead = first.getInputStream().read();
                     } catch (SocketTimeoutException e) {
                         first.getOutputStream().write('1');
                     }
                 }
                 try (Socket second = feed.accept()) {
-                    assertEquals("SUB 1", line(second));
+                    assertEquals("SUB 1", readLine(second));
                 }
             } finally {
                 process.toHandle().destroy();
             }
-            assertEquals(0, end(process).code());
+            assertEquals(0, awaitExit(process).code());
         }
     }
 
-    private static ServerSocket listening() throws IOException {
+    private static ServerSocket listen() throws IOException {
         ServerSocket server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
-        server.setSoTimeout((int) TimeUnit.SECONDS.toMillis(LIMIT_S));
+        server.setSoTimeout((int) TimeUnit.SECONDS.toMillis(TIMEOUT_SECONDS));
         return server;
     }
 
-    private static byte[] event(int number) {
+    private static byte[] feedEvent(int number) {
         return ("{\"n\":" + number + ",\"members\":{\"seq\":1,\"whole\":true,\"hosts\":[{\"host\":\"s-1\","
                 + "\"dial\":\"127.0.0.1:1\",\"site\":\"dc1\",\"class\":\"std16\",\"block\":0,"
                 + "\"health\":\"in_service\",\"share\":4,\"born_ms\":0}]}}\n").getBytes(StandardCharsets.UTF_8);
     }
 
-    private static void hangUp(Process process) throws IOException, InterruptedException {
+    private static void sendSighup(Process process) throws IOException, InterruptedException {
         assertEquals(0, new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor());
     }
 
-    private static String line(Process process) throws IOException {
-        return line(process.getInputStream());
+    private static String readLine(Process process) throws IOException {
+        return readLine(process.getInputStream());
     }
 
-    private static String frame(Socket client) throws IOException {
+    /** Reads one frame; returns its type and the first byte of its payload, or "-" without payload. */
+    private static String readFrame(Socket client) throws IOException {
         ClientFrames frames = new ClientFrames(1000);
         ClientFrames.Frame frame = null;
         while (frame == null) {
--- a/src/test/java/cairnline/program/ProtocolContract.java
+++ b/src/test/java/cairnline/program/ProtocolContract.java
@@ -2,17 +2,17 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The rules, told as scenarios; each wire's test runs them all unchanged. */
+/** The rules of the service as scenarios; the contract test of each protocol runs all of them unchanged. */
 abstract class ProtocolContract {
-    /** A wire whose front takes so many clients at once. */
-    abstract ProtocolFixture wire(int mostClients);
+    /** Returns the protocol under test with a front that accepts at most {@code maxClients} concurrent connections. */
+    abstract ProtocolFixture fixture(int maxClients);
 
     private void play(String steps) throws Exception {
-        Scenario.play(wire(Integer.MAX_VALUE), steps);
+        Scenario.play(fixture(Integer.MAX_VALUE), steps);
     }
 
     @Test
-    void aRequestIsServedOnceWithItsRows() throws Exception {
+    void servesEachRequestOnceWithItsRows() throws Exception {
         play("""
                 list e1 ready
                 client a send lookup r1
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void aRefusedConnectionProvesThatNothingRan() throws Exception {
+    void retriesAfterConnectionIsRefused() throws Exception {
         play("""
                 list e1 down
                 list e2 ready
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void anEngineThatIsFullNeverRanIt() throws Exception {
+    void retriesAfterEngineReportsFull() throws Exception {
         play("""
                 list e1 ready
                 list e2 ready
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void aResetMayHaveRunSoTheRepeatBearsTheSameKey() throws Exception {
+    void retriesAfterResetWithSameIdempotencyKey() throws Exception {
         play("""
                 list e1 ready
                 list e2 ready
@@ -64,8 +64,8 @@
     }
 
     @Test
-    void loadsOfOneKeyGoOneAtATimeInTheOrderTaken() throws Exception {
-        // What must not go is shown by what goes next: the lookup that came after it.
+    void sendsLoadsOfOneKeyOneAtATimeInOrderOfArrival() throws Exception {
+        // That r2 is held back shows in what the engines receive next: lookup r3, which arrived after it.
         play("""
                 list e1 ready
                 list e2 ready
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void loadsOfOtherKeysDoNotWait() throws Exception {
+    void sendsLoadsOfDifferentKeysConcurrently() throws Exception {
         play("""
                 list e1 ready
                 client a send load r1 k
@@ -98,7 +98,7 @@
     }
 
     @Test
-    void nothingNewGoesToAnEngineThatDrains() throws Exception {
+    void sendsNoNewRequestToDrainingEngine() throws Exception {
         play("""
                 list e1 ready
                 client a send lookup r1
@@ -118,7 +118,7 @@
     }
 
     @Test
-    void aReusedAddressIsANewEngineAndWhatIsOutAtTheOldOneMayStillEnd() throws Exception {
+    void treatsReusedAddressAsNewEngineAndAcceptsAnswersOfOldOne() throws Exception {
         play("""
                 list e1 ready
                 client a send lookup r1
@@ -134,7 +134,7 @@
     }
 
     @Test
-    void withOnlyDrainingEnginesARequestIsAnsweredAndNotSent() throws Exception {
+    void refusesRequestWhenAllEnginesAreDraining() throws Exception {
         play("""
                 list e1 draining
                 client a send lookup r1 1000
@@ -147,7 +147,7 @@
     }
 
     @Test
-    void silenceIsAnsweredBeforeTheClientGivesUpAndItsLateEndIsNobodys() throws Exception {
+    void failsRequestBeforeClientTimeoutAndIgnoresLateAnswer() throws Exception {
         play("""
                 list e1 ready
                 client a send lookup r1 1000
@@ -161,7 +161,7 @@
     }
 
     @Test
-    void aHangUpGivesTheRequestUpAndHarmsNobody() throws Exception {
+    void abandonsRequestOfDisconnectedClientAndServesOthers() throws Exception {
         play("""
                 list e1 ready
                 client a send lookup r1
@@ -177,7 +177,7 @@
     }
 
     @Test
-    void aClientThatSaysNothingIsLeftAndHarmsNobody() throws Exception {
+    void closesConnectionOfSilentClientAndServesOthers() throws Exception {
         play("""
                 list e1 ready
                 client b send lookup r1
@@ -190,8 +190,8 @@
     }
 
     @Test
-    void whereAllWaitForAnswersTheNewcomerIsTurnedAway() throws Exception {
-        Scenario.play(wire(1), """
+    void rejectsNewClientWhenAllOthersAwaitAnswers() throws Exception {
+        Scenario.play(fixture(1), """
                 list e1 ready
                 client a send lookup r1
                 engine expect r1
@@ -202,7 +202,7 @@
     }
 
     @Test
-    void whatWasTakenIsAnsweredAfterTheProgramIsToldToStop() throws Exception {
+    void answersAcceptedRequestsDuringShutdown() throws Exception {
         play("""
                 list e1 ready
                 client a send lookup r1 1000
@@ -212,7 +212,7 @@
     }
 
     @Test
-    void whatComesOnceNoMoreIsTakenDoesNotKeepTheProgramFromItsEnd() throws Exception {
+    void refusesRequestsAfterShutdown() throws Exception {
         play("""
                 list e1 ready
                 client a send lookup r1
--- a/src/test/java/cairnline/program/ProtocolFixture.java
+++ b/src/test/java/cairnline/program/ProtocolFixture.java
@@ -7,42 +7,46 @@
 import java.io.IOException;
 import java.util.List;
 
-/** What the rule checks need of a wire: its front, its links, and the words of stand-in clients and engines. */
+/**
+ * The protocol under test in a {@link Scenario}: creates its front and its engine links, and encodes and decodes the
+ * messages of stand-in clients and engines.
+ */
 interface ProtocolFixture extends AutoCloseable {
-    /** A request as a scenario names it; {@code key} is null without. */
-    record Ask(String name, String type, String key, long ttlMs) { }
+    /** A request of a scenario; {@code orderingKey} is null for a class without one. */
+    record Request(String name, String requestClass, String orderingKey, long timeoutMillis) { }
 
-    /** What a stand-in engine or client has read; {@code name} is the request's, {@code outcome} a word. */
-    record Heard(String name, String outcome, String detail) { }
+    /** A message read by a stand-in engine or client: the scenario's name of the request, its outcome or kind, a detail. */
+    record Message(String requestName, String outcome, String detail) { }
 
-    /** Takes bytes as they come and gives what is whole. */
+    /** Decodes a byte stream. */
     interface Reader {
-        List<Heard> read(byte[] bytes, int count);
+        /** Consumes the next bytes and returns the messages that they complete. */
+        List<Message> read(byte[] bytes, int count);
     }
 
-    EngineLink link(ListedEngine engine, Core core, Configuration configuration, Clock clock);
+    EngineLink createLink(ListedEngine engine, Core dispatcher, Configuration configuration, Clock clock);
 
-    /** Starts the front; gives its port. */
-    int start(Core core, Configuration configuration, Clock clock) throws IOException;
+    /** Starts the front and returns its port. */
+    int startFront(Core dispatcher, Configuration configuration, Clock clock) throws IOException;
 
-    /** Ends its thread. */
+    /** Stops the event loop. */
     @Override
     void close();
 
-    /** Tells the front that the program stops. */
-    void stopping();
+    /** Tells the front that the program is shutting down. */
+    void announceShutdown();
 
-    /** Client connections that are open at the front. */
-    int connections();
+    /** Returns the number of client connections that the front has open. */
+    int clientConnectionCount();
 
-    byte[] ask(Ask ask);
+    byte[] encodeRequest(Request request);
 
-    /** Reads what an engine gets: the name, {@code asked}, and the idempotency key. */
+    /** Returns a reader of engine input; for a request the outcome is {@code asked} and the detail its idempotency key. */
     Reader engineReader();
 
-    /** An engine's answer: {@code ok} with a row, {@code full} or {@code error}. */
-    byte[] reply(String name, String outcome, String row);
+    /** Encodes an engine's answer; {@code outcome} is {@code ok} with a row, {@code full} or {@code error}. */
+    byte[] encodeAnswer(String requestName, String outcome, String row);
 
-    /** Reads what a client gets: the name, {@code served}, {@code refused} or {@code failed}, and the row. */
+    /** Returns a reader of answers: the outcome is {@code served}, {@code refused} or {@code failed}, the detail a row. */
     Reader clientReader();
 }
--- a/src/test/java/cairnline/program/RehearsalTest.java
+++ b/src/test/java/cairnline/program/RehearsalTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Recordings played against a scripted server, with what it got and what was reported. */
+/** Replays recordings against a scripted server and checks the requests it receives and the printed report. */
 class RehearsalTest {
     private static final String HAR = """
             {"log":{"version":"1.2","creator":{"name":"x"},"entries":[
@@ -38,18 +38,18 @@
     @TempDir
     Path folder;
 
-    private final List<HttpMessage> got = Collections.synchronizedList(new ArrayList<>());
+    private final List<HttpMessage> receivedRequests = Collections.synchronizedList(new ArrayList<>());
 
-    /** Answers every request with these bytes, or hangs up if there are none. */
-    private ServerSocket server(String answer) throws IOException {
+    /** Starts a server that gives each request this answer, or closes the connection if it is empty. */
+    private ServerSocket startServer(String answer) throws IOException {
         ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         Thread thread = new Thread(() -> {
             try {
                 while (true) {
-                    answer(server.accept(), answer);
+                    serveConnection(server.accept(), answer);
                 }
             } catch (IOException e) {
-                // The test has closed it.
+                // Closed by the test.
             }
         });
         thread.setDaemon(true);
@@ -57,17 +57,17 @@
         return server;
     }
 
-    private void answer(Socket socket, String answer) throws IOException {
+    private void serveConnection(Socket socket, String answer) throws IOException {
         HttpDecoder decoder = new HttpDecoder(10_000, 10_000);
         while (true) {
-            byte[] one = socket.getInputStream().readNBytes(1);
-            if (one.length == 0) {
+            byte[] nextByte = socket.getInputStream().readNBytes(1);
+            if (nextByte.length == 0) {
                 return;
             }
-            decoder.feed(one, 1);
+            decoder.feed(nextByte, 1);
             HttpMessage request = decoder.next();
             if (request != null) {
-                got.add(request);
+                receivedRequests.add(request);
                 socket.getOutputStream().write(answer.getBytes(StandardCharsets.UTF_8));
                 if (answer.isEmpty()) {
                     socket.close();
@@ -77,75 +77,76 @@
         }
     }
 
-    private String play(String option, String recording, String answer, String... more) throws Exception {
+    private String replay(String option, String recording, String answer, String... moreOptions) throws Exception {
         Path file = Files.writeString(folder.resolve("recording"), recording);
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        try (ServerSocket server = server(answer)) {
+        try (ServerSocket server = startServer(answer)) {
             List<String> args = new ArrayList<>(List.of("rehearse", option, file.toString(), "--to",
                     "127.0.0.1:" + server.getLocalPort(), "--speed", "1000", "--connections", "1"));
-            args.addAll(List.of(more));
-            new Rehearsal(RehearsalOptions.of(args.toArray(String[]::new)), new PrintStream(out)).run();
+            args.addAll(List.of(moreOptions));
+            new Rehearsal(RehearsalOptions.parse(args.toArray(String[]::new)), new PrintStream(out)).run();
         }
         return out.toString(StandardCharsets.UTF_8).replaceAll(" +", " ");
     }
 
     @Test
-    void aHarFileIsPlayedWithoutItsSecretsAndWithoutItsWrites() throws Exception {
-        String report = play("--har", HAR, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}", "--strip", "/v4");
-        assertEquals(1, got.size());
-        assertEquals("GET /Books(1)?$select=Title", got.get(0).method() + " " + got.get(0).target());
-        assertEquals("application/json", got.get(0).header("accept"));
-        assertFalse(new String(got.get(0).bytes(), StandardCharsets.UTF_8).contains("s3cret"));
+    void replaysHarFileWithoutCredentialsAndWrites() throws Exception {
+        String report = replay("--har", HAR, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}", "--strip", "/v4");
+        assertEquals(1, receivedRequests.size());
+        assertEquals("GET /Books(1)?$select=Title", receivedRequests.get(0).method() + " " + receivedRequests.get(0).target());
+        assertEquals("application/json", receivedRequests.get(0).header("accept"));
+        assertFalse(new String(receivedRequests.get(0).bytes(), StandardCharsets.UTF_8).contains("s3cret"));
         assertTrue(report.contains("read 1 1 0 0 0 0"), report);
         assertTrue(report.contains("1 writes left out"), report);
         assertTrue(report.contains("entry 2: startedDateTime is no time: soon"), report);
     }
 
     @Test
-    void writesGoOnlyWhereTheyAreAskedFor() throws Exception {
-        String report = play("--har", HAR, "HTTP/1.1 204 No Content\r\n\r\n", "--writes");
-        assertEquals(List.of("GET", "PATCH"), got.stream().map(HttpMessage::method).toList());
+    void sendsWritesOnlyWithOption() throws Exception {
+        String report = replay("--har", HAR, "HTTP/1.1 204 No Content\r\n\r\n", "--writes");
+        assertEquals(List.of("GET", "PATCH"), receivedRequests.stream().map(HttpMessage::method).toList());
         assertTrue(report.contains("write 1 1 0 0 0 0"), report);
     }
 
     @Test
-    void anAccessLogIsPlayedAndItsBadLinesAreNamed() throws Exception {
-        String report = play("--access-log", """
+    void replaysAccessLogAndReportsUnusableLines() throws Exception {
+        String report = replay("--access-log", """
                 10.0.0.1 - - [30/Nov/2026:10:00:00 +0000] "GET /Books(1) HTTP/1.1" 200 12
                 nonsense
                 10.0.0.1 - bob [30/Nov/2026:10:00:01 +0000] "GET /Books?$top=3 HTTP/1.1" 200 12 "-" "agent 1.0"
                 10.0.0.1 - - [never] "GET /Books HTTP/1.1" 200 12
                 """, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: 1\r\n\r\n");
-        assertEquals(List.of("/Books(1)", "/Books?$top=3"), got.stream().map(HttpMessage::target).toList());
+        assertEquals(List.of("/Books(1)", "/Books?$top=3"), receivedRequests.stream().map(HttpMessage::target).toList());
         assertTrue(report.contains("read 2 0 2 0 0 0"), report);
         assertTrue(report.contains("2 of the recording could not be used"), report);
         assertTrue(report.contains("line 2: ") && report.contains("line 4: "), report);
     }
 
     @Test
-    void brokenRulesAreToldApartFromFailures() throws Exception {
+    void reportsRuleViolationsSeparatelyFromFailures() throws Exception {
         String log = "10.0.0.1 - - [30/Nov/2026:10:00:00 +0000] \"GET /Books(1) HTTP/1.1\" 200 12\n";
-        String[][] answers = {{"", "read 1 0 0 1 0 1"},
+        String[][] answersAndReports = {{"", "read 1 0 0 1 0 1"},
             {"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n", "read 1 0 1 0 0 1"},
             {"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\nHTTP/1.1 200 OK\r\n", "read 1 0 0 1 0 1"},
             {"HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\n\r\n", "read 1 0 0 1 0 0"}};
-        for (String[] each : answers) {
-            String report = play("--access-log", log, each[0]);
+        for (String[] each : answersAndReports) {
+            String report = replay("--access-log", log, each[0]);
             assertTrue(report.contains(each[1]), report);
         }
     }
 
     @Test
-    void onlyLoopbackIsEverAskedAndABadFileIsNamed() throws Exception {
-        assertThrows(ConfigurationException.class, () -> RehearsalOptions.of(
+    void rejectsNonLoopbackTargetsAndInvalidRecordings() throws Exception {
+        assertThrows(ConfigurationException.class, () -> RehearsalOptions.parse(
                 new String[] {"rehearse", "--har", "x", "--to", "10.1.2.3:80"}));
-        assertThrows(ConfigurationException.class, () -> RehearsalOptions.of(new String[] {"rehearse", "--har", "x"}));
-        for (String bad : new String[] {"[]", "{\"log\":{}}", "no json"}) {
-            ConfigurationException e = assertThrows(ConfigurationException.class, () -> play("--har", bad, "x"));
+        assertThrows(ConfigurationException.class, () -> RehearsalOptions.parse(new String[] {"rehearse", "--har", "x"}));
+        for (String invalidHar : new String[] {"[]", "{\"log\":{}}", "no json"}) {
+            ConfigurationException e =
+                    assertThrows(ConfigurationException.class, () -> replay("--har", invalidHar, "x"));
             assertTrue(e.getMessage().startsWith("--har: "), e.getMessage());
         }
-        ConfigurationException cut = assertThrows(ConfigurationException.class,
-                () -> play("--har", HAR.substring(0, 300), "HTTP/1.1 204 No Content\r\n\r\n"));
-        assertTrue(cut.getMessage().startsWith("--har: "), cut.getMessage());
+        ConfigurationException truncated = assertThrows(ConfigurationException.class,
+                () -> replay("--har", HAR.substring(0, 300), "HTTP/1.1 204 No Content\r\n\r\n"));
+        assertTrue(truncated.getMessage().startsWith("--har: "), truncated.getMessage());
     }
 }
--- a/src/test/java/cairnline/program/ReloadSignalTest.java
+++ b/src/test/java/cairnline/program/ReloadSignalTest.java
@@ -8,13 +8,13 @@
     private int reloads;
 
     @Test
-    void aSignalDuringTheStartIsNotLost() {
+    void defersSignalsReceivedBeforeReloadTaskIsSet() {
         ReloadSignal signal = new ReloadSignal();
-        signal.received();
-        signal.received();
-        signal.answerBy(() -> reloads++);
+        signal.onSignal();
+        signal.onSignal();
+        signal.setReloadTask(() -> reloads++);
         assertEquals(1, reloads);
-        signal.received();
+        signal.onSignal();
         assertEquals(2, reloads);
     }
 }
--- a/src/test/java/cairnline/program/Scenario.java
+++ b/src/test/java/cairnline/program/Scenario.java
@@ -9,9 +9,9 @@
 import cairnline.routing.Clock;
 import cairnline.routing.Core;
 import cairnline.membership.ListedEngine;
-import cairnline.program.ProtocolFixture.Ask;
-import cairnline.program.ProtocolFixture.Heard;
+import cairnline.program.ProtocolFixture.Message;
 import cairnline.program.ProtocolFixture.Reader;
+import cairnline.program.ProtocolFixture.Request;
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.InetAddress;
@@ -34,107 +34,109 @@
 import java.util.function.Consumer;
 
 /**
- * A small language for tests of the network code, one step a line, against real sockets on loopback:
+ * Interprets a small language for tests of the network code, one step per line, against real sockets on loopback:
  *
  * <pre>
- * list e1 ready|draining|gone     engine e1, which listens, is listed so; "list e1 down" lists one that does not listen
- * list e2@e1 ready                engine e2 is listed at e1's address
- * client a send lookup r1 [ttl]   client a (one connection) asks; "send load r1 KEY [ttl]" with a key
- * client a expect r1 served row   its next answer: served with a row, refused, failed or closed
- * client a close                  it hangs up
- * engine expect r1 [key|at e1]    the next request that any engine gets is r1
- * engine expect r1+r2             the next two are these, in any order
- * engine send r1 ok row           its answer: ok with a row, full or error
- * engine hear r1 undo             the next thing that an engine is told beside requests
- * engine mute                     from here on engines do not answer when they are asked for their load
- * engine keep r1 as old           from here on "engine send r1@old ..." answers on the connection that r1 has now
- * engine close r1                 the connection that brought r1 ends
- * client a raw 0a0b               bytes as they are
- * client a text GET /..           the same as text, with \r\n written out
- * client a hear words             its connection brings these words, sooner or later
- * client a connect                it connects and says nothing
- * client a flood                  it writes until its connection ends
- * client a finish                 it sends no more but still listens
- * wait connections 0              so many clients are connected
- * wait stopped                    the program is told to stop and has answered all that it took
+ * list e1 ready|draining|gone     reports engine e1 in this state and lets it listen; "list e1 down" does not let it listen
+ * list e2@e1 ready                reports engine e2 at the address of e1
+ * client a send lookup r1 [ttl]   sends request r1 on the connection of client a; "send load r1 KEY [ttl]" with a key
+ * client a expect r1 served row   expects the client's next answer: served with a row, refused, failed or closed
+ * client a close                  closes the client's connection
+ * engine expect r1 [key|at e1]    expects r1 as the next request received by any engine, with this key or at this engine
+ * engine expect r1+r2             expects these as the next two requests, in any order
+ * engine send r1 ok row           sends the answer to r1: ok with a row, full or error
+ * engine hear r1 undo             expects this as the next command received by an engine that is not a request
+ * engine mute                     from here on engines do not answer probes of their load
+ * engine keep r1 as old           from here on "engine send r1@old ..." uses the connection that r1 arrived on before
+ * engine close r1                 resets the connection on which r1 arrived
+ * client a raw 0a0b               sends these bytes, in hexadecimal
+ * client a text GET /..           sends this text, in which \r\n stands for a line end
+ * client a hear words             waits until the client's connection has received this text
+ * client a connect                connects without sending anything
+ * client a flood                  writes until the connection is closed by the other side
+ * client a finish                 closes the sending direction of the connection
+ * wait connections 0              waits until this many client connections are open
+ * wait stopped                    starts the shutdown and waits until all accepted requests are answered
  * </pre>
  *
- * Every step waits for its event, with a limit that only a fault reaches.
+ * Each step waits for its event, up to a timeout that is far beyond the time it takes in a correct run.
  */
 final class Scenario implements AutoCloseable {
-    private static final long LIMIT_S = 10;
-    private static final long TTL_MS = 6_000;
-    /** Far more than the buffers of a connection take. */
+    private static final long TIMEOUT_SECONDS = 10;
+    private static final long DEFAULT_REQUEST_TIMEOUT_MILLIS = 6_000;
+    /** Far more data than the buffers of a connection hold. */
     private static final int FLOOD_BLOCKS = 4_096;
 
-    private final ProtocolFixture wire;
-    private final Core core;
+    private final ProtocolFixture fixture;
+    private final Core dispatcher;
     private final int port;
     private final Map<String, ServerSocket> engines = new HashMap<>();
     private final Map<String, Client> clients = new HashMap<>();
-    private final Map<String, Socket> holders = new ConcurrentHashMap<>();
-    private final LinkedBlockingQueue<Heard> told = new LinkedBlockingQueue<>();
-    private final LinkedBlockingQueue<Received> received = new LinkedBlockingQueue<>();
+    private final Map<String, Socket> engineConnections = new ConcurrentHashMap<>();
+    private final LinkedBlockingQueue<Message> engineCommands = new LinkedBlockingQueue<>();
+    private final LinkedBlockingQueue<EngineRequest> engineRequests = new LinkedBlockingQueue<>();
     private final List<Socket> sockets = new ArrayList<>();
-    private volatile boolean mute;
+    private volatile boolean probesUnanswered;
 
-    private record Received(String engine, Socket socket, Heard heard) { }
+    private record EngineRequest(String engine, Socket socket, Message message) { }
 
-    private record Client(Socket socket, LinkedBlockingQueue<Heard> answers, StringBuffer text) { }
+    private record Client(Socket socket, LinkedBlockingQueue<Message> answers, StringBuffer receivedText) { }
 
-    Scenario(ProtocolFixture wire) throws IOException {
-        this.wire = wire;
+    Scenario(ProtocolFixture fixture) throws IOException {
+        this.fixture = fixture;
         Configuration configuration = Configuration.of(Scenario.class.getResourceAsStream("/config.json")
                 .readAllBytes(), null);
         Clock clock = new Clock();
-        core = new Core(configuration.settings(), configuration.seed(), configuration.limits(), clock, line -> { },
-                (engine, owner) -> wire.link(engine, owner, configuration, clock));
-        core.start();
-        port = wire.start(core, configuration, clock);
+        dispatcher = new Core(configuration.settings(), configuration.seed(), configuration.limits(), clock, line -> { },
+                (engine, owner) -> fixture.createLink(engine, owner, configuration, clock));
+        dispatcher.start();
+        port = fixture.startFront(dispatcher, configuration, clock);
     }
 
-    /** Plays a scenario from its first step to its last. */
-    static void play(ProtocolFixture wire, String steps) throws Exception {
-        try (Scenario scenario = new Scenario(wire)) {
+    /** Runs all steps of a scenario in order. */
+    static void play(ProtocolFixture fixture, String steps) throws Exception {
+        try (Scenario scenario = new Scenario(fixture)) {
             for (String step : steps.strip().split("\n")) {
-                scenario.step(step.strip().split(" "), step.strip());
+                scenario.runStep(step.strip().split(" "), step.strip());
             }
         }
     }
 
-    private void step(String[] w, String step) throws Exception {
-        switch (w[0] + " " + (w[0].equals("client") ? w[2] : w[1])) {
-            case "client send" -> send(w);
-            case "client expect" -> answer(w, step);
-            case "client close" -> clients.remove(w[1]).socket.close();
-            case "engine expect" -> request(w, step);
-            case "client raw" -> client(w[1]).socket.getOutputStream().write(HexFormat.of().parseHex(w[3]));
-            case "client text" -> client(w[1]).socket.getOutputStream().write(step.split(" ", 4)[3]
+    private void runStep(String[] words, String step) throws Exception {
+        switch (words[0] + " " + (words[0].equals("client") ? words[2] : words[1])) {
+            case "client send" -> sendRequest(words);
+            case "client expect" -> expectAnswer(words, step);
+            case "client close" -> clients.remove(words[1]).socket.close();
+            case "engine expect" -> expectEngineRequests(words, step);
+            case "client raw" -> client(words[1]).socket.getOutputStream().write(HexFormat.of().parseHex(words[3]));
+            case "client text" -> client(words[1]).socket.getOutputStream().write(step.split(" ", 4)[3]
                     .replace("\\r\\n", "\r\n").getBytes(StandardCharsets.UTF_8));
-            case "client connect" -> client(w[1]);
-            case "client flood" -> flood(client(w[1]).socket, step);
-            case "client hear" -> hear(clients.get(w[1]).text, step.split(" ", 4)[3]);
-            case "client finish" -> client(w[1]).socket.shutdownOutput();
-            case "engine send" -> holders.get(w[2].substring(w[2].indexOf('@') + 1)).getOutputStream()
-                    .write(wire.reply(w[2].split("@")[0], w[3], w.length > 4 ? w[4] : ""));
-            case "engine hear" -> told(w, step);
-            case "engine mute" -> mute = true;
-            case "engine keep" -> holders.put(w[4], holders.get(w[2]));
-            case "wait connections" -> until(() -> wire.connections() == Integer.parseInt(w[2]), step);
-            case "engine close" -> reset(holders.get(w[2]));
-            case "wait stopped" -> stopped();
+            case "client connect" -> client(words[1]);
+            case "client flood" -> flood(client(words[1]).socket, step);
+            case "client hear" -> awaitText(clients.get(words[1]).receivedText, step.split(" ", 4)[3]);
+            case "client finish" -> client(words[1]).socket.shutdownOutput();
+            case "engine send" -> engineConnections.get(words[2].substring(words[2].indexOf('@') + 1)).getOutputStream()
+                    .write(fixture.encodeAnswer(words[2].split("@")[0], words[3], words.length > 4 ? words[4] : ""));
+            case "engine hear" -> expectEngineCommand(words, step);
+            case "engine mute" -> probesUnanswered = true;
+            case "engine keep" -> engineConnections.put(words[4], engineConnections.get(words[2]));
+            case "wait connections" ->
+                    awaitCondition(() -> fixture.clientConnectionCount() == Integer.parseInt(words[2]), step);
+            case "engine close" -> reset(engineConnections.get(words[2]));
+            case "wait stopped" -> shutDown();
             default -> {
-                assertEquals("list", w[0], "no such step: " + step);
-                list(w[1], w[2]);
+                assertEquals("list", words[0], "no such step: " + step);
+                listEngine(words[1], words[2]);
             }
         }
     }
 
-    private void send(String[] w) throws IOException {
-        boolean keyed = w[3].equals("load");
-        int ttlAt = keyed ? 6 : 5;
-        Ask ask = new Ask(w[4], w[3], keyed ? w[5] : null, w.length > ttlAt ? Long.parseLong(w[ttlAt]) : TTL_MS);
-        client(w[1]).socket.getOutputStream().write(wire.ask(ask));
+    private void sendRequest(String[] words) throws IOException {
+        boolean keyed = words[3].equals("load");
+        int timeoutIndex = keyed ? 6 : 5;
+        Request request = new Request(words[4], words[3], keyed ? words[5] : null,
+                words.length > timeoutIndex ? Long.parseLong(words[timeoutIndex]) : DEFAULT_REQUEST_TIMEOUT_MILLIS);
+        client(words[1]).socket.getOutputStream().write(fixture.encodeRequest(request));
     }
 
     private Client client(String name) throws IOException {
@@ -144,12 +146,12 @@
                     new StringBuffer());
             clients.put(name, client);
             sockets.add(client.socket);
-            Client opened = client;
-            Reader reader = wire.clientReader();
-            read(client.socket, (bytes, count) -> {
-                opened.text.append(new String(bytes, 0, count, StandardCharsets.ISO_8859_1));
+            Client connected = client;
+            Reader reader = fixture.clientReader();
+            startReading(client.socket, (bytes, count) -> {
+                connected.receivedText.append(new String(bytes, 0, count, StandardCharsets.ISO_8859_1));
                 return reader.read(bytes, count);
-            }, opened.answers::add, () -> opened.answers.add(new Heard("-", "closed", "-")));
+            }, connected.answers::add, () -> connected.answers.add(new Message("-", "closed", "-")));
         }
         return client;
     }
@@ -163,80 +165,80 @@
         } catch (SocketException e) {
             return;
         }
-        fail("all of it was read: " + step);
+        fail("the whole flood was read: " + step);
     }
 
-    /** Words once heard are taken off, with all before them. */
-    private static void hear(StringBuffer text, String words) {
-        until(() -> text.indexOf(words) >= 0, words + " in " + text);
-        text.delete(0, text.indexOf(words) + words.length());
+    /** Waits until the text contains {@code expected}, then removes it with all that precedes it. */
+    private static void awaitText(StringBuffer text, String expected) {
+        awaitCondition(() -> text.indexOf(expected) >= 0, expected + " in " + text);
+        text.delete(0, text.indexOf(expected) + expected.length());
     }
 
-    private static void until(BooleanSupplier held, String step) {
-        long limit = System.nanoTime() + TimeUnit.SECONDS.toNanos(LIMIT_S);
-        while (!held.getAsBoolean()) {
-            assertTrue(System.nanoTime() < limit, "never came: " + step);
+    private static void awaitCondition(BooleanSupplier condition, String step) {
+        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
+        while (!condition.getAsBoolean()) {
+            assertTrue(System.nanoTime() < deadline, "timed out: " + step);
             Thread.onSpinWait();
         }
     }
 
-    private void told(String[] w, String step) throws InterruptedException {
-        Heard heard = told.poll(LIMIT_S, TimeUnit.SECONDS);
-        assertNotNull(heard, "nothing came: " + step);
-        assertEquals(w[2] + " " + w[3], heard.name() + " " + heard.outcome(), step);
+    private void expectEngineCommand(String[] words, String step) throws InterruptedException {
+        Message command = engineCommands.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+        assertNotNull(command, "nothing received: " + step);
+        assertEquals(words[2] + " " + words[3], command.requestName() + " " + command.outcome(), step);
     }
 
-    private void answer(String[] w, String step) throws InterruptedException {
-        Heard heard = clients.get(w[1]).answers.poll(LIMIT_S, TimeUnit.SECONDS);
-        assertNotNull(heard, "nothing came: " + step);
-        assertEquals(w[4], heard.outcome(), step);
-        if (!heard.name().equals("-")) {
-            assertEquals(w[3], heard.name(), step);
+    private void expectAnswer(String[] words, String step) throws InterruptedException {
+        Message answer = clients.get(words[1]).answers.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+        assertNotNull(answer, "nothing received: " + step);
+        assertEquals(words[4], answer.outcome(), step);
+        if (!answer.requestName().equals("-")) {
+            assertEquals(words[3], answer.requestName(), step);
         }
-        if (w[4].equals("served")) {
-            assertEquals(w[3] + " " + w[5], heard.name() + " " + heard.detail(), step);
+        if (words[4].equals("served")) {
+            assertEquals(words[3] + " " + words[5], answer.requestName() + " " + answer.detail(), step);
         }
     }
 
-    private void request(String[] w, String step) throws InterruptedException {
-        Set<String> missing = new HashSet<>(List.of(w[2].split("\\+")));
-        Received next = null;
+    private void expectEngineRequests(String[] words, String step) throws InterruptedException {
+        Set<String> missing = new HashSet<>(List.of(words[2].split("\\+")));
+        EngineRequest next = null;
         while (!missing.isEmpty()) {
-            next = received.poll(LIMIT_S, TimeUnit.SECONDS);
-            assertNotNull(next, "nothing came: " + step);
-            assertTrue(missing.remove(next.heard.name()), step + ", but it was " + next.heard.name());
-            holders.put(next.heard.name(), next.socket);
+            next = engineRequests.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+            assertNotNull(next, "nothing received: " + step);
+            assertTrue(missing.remove(next.message.requestName()), step + ", but received " + next.message.requestName());
+            engineConnections.put(next.message.requestName(), next.socket);
         }
-        if (w.length > 4) {
-            assertEquals(w[4], next.engine, step);
-        } else if (w.length > 3) {
-            assertEquals(w[3], next.heard.detail(), step);
+        if (words.length > 4) {
+            assertEquals(words[4], next.engine, step);
+        } else if (words.length > 3) {
+            assertEquals(words[3], next.message.detail(), step);
         }
     }
 
-    /** As a process that dies does. */
+    /** Closes a connection with a TCP reset, as the end of a crashed process does. */
     private static void reset(Socket socket) throws IOException {
         socket.setSoLinger(true, 0);
         socket.close();
     }
 
-    private void stopped() throws InterruptedException {
+    private void shutDown() throws InterruptedException {
         CountDownLatch done = new CountDownLatch(1);
-        wire.stopping();
-        core.stopping(done::countDown);
-        assertTrue(done.await(LIMIT_S, TimeUnit.SECONDS), "something that was taken is still open");
+        fixture.announceShutdown();
+        dispatcher.stopping(done::countDown);
+        assertTrue(done.await(TIMEOUT_SECONDS, TimeUnit.SECONDS), "an accepted request is still open");
     }
 
-    private void list(String name, String state) throws IOException {
-        String[] at = name.split("@");
-        ServerSocket server = engines.get(at[at.length - 1]);
+    private void listEngine(String name, String state) throws IOException {
+        String[] idAndHost = name.split("@");
+        ServerSocket server = engines.get(idAndHost[idAndHost.length - 1]);
         if (server == null) {
             server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
             engines.put(name, server);
             if (state.equals("down")) {
                 server.close();
             } else {
-                serve(name, server);
+                acceptConnections(name, server);
             }
         }
         Listed listed = switch (state) {
@@ -244,50 +246,50 @@
             case "gone" -> Listed.GONE;
             default -> Listed.READY;
         };
-        core.listed(false, List.of(new ListedEngine(at[0], "127.0.0.1:" + server.getLocalPort(), listed, "dc1",
-                "std16", 0, 1, 0)));
+        dispatcher.listed(false, List.of(new ListedEngine(idAndHost[0], "127.0.0.1:" + server.getLocalPort(), listed,
+                "dc1", "std16", 0, 1, 0)));
     }
 
-    private void serve(String name, ServerSocket server) {
-        daemon(() -> {
+    private void acceptConnections(String name, ServerSocket server) {
+        startDaemon(() -> {
             while (!server.isClosed()) {
                 Socket socket = server.accept();
                 synchronized (sockets) {
                     sockets.add(socket);
                 }
-                read(socket, wire.engineReader(), heard -> {
-                    if (heard.outcome().equals("asked")) {
-                        received.add(new Received(name, socket, heard));
-                    } else if (heard.outcome().equals("top")) {
-                        tellLoad(socket, heard.name());
+                startReading(socket, fixture.engineReader(), message -> {
+                    if (message.outcome().equals("asked")) {
+                        engineRequests.add(new EngineRequest(name, socket, message));
+                    } else if (message.outcome().equals("top")) {
+                        answerProbe(socket, message.requestName());
                     } else {
-                        told.add(heard);
+                        engineCommands.add(message);
                     }
                 }, () -> { });
             }
         });
     }
 
-    private void tellLoad(Socket socket, String tag) {
+    private void answerProbe(Socket socket, String probeId) {
         try {
-            if (!mute) {
-                socket.getOutputStream().write(wire.reply(tag, "ready", ""));
+            if (!probesUnanswered) {
+                socket.getOutputStream().write(fixture.encodeAnswer(probeId, "ready", ""));
             }
         } catch (IOException e) {
-            // The connection has ended meanwhile.
+            // The connection has been closed meanwhile.
         }
     }
 
-    private static void read(Socket socket, Reader reader, Consumer<Heard> take, Runnable ended) {
-        daemon(() -> {
+    private static void startReading(Socket socket, Reader reader, Consumer<Message> consumer, Runnable onEnd) {
+        startDaemon(() -> {
             try {
                 InputStream in = socket.getInputStream();
                 byte[] bytes = new byte[8192];
                 for (int count = in.read(bytes); count >= 0; count = in.read(bytes)) {
-                    reader.read(bytes, count).forEach(take);
+                    reader.read(bytes, count).forEach(consumer);
                 }
             } finally {
-                ended.run();
+                onEnd.run();
             }
         });
     }
@@ -296,7 +298,7 @@
         void run() throws IOException;
     }
 
-    private static void daemon(Task task) {
+    private static void startDaemon(Task task) {
         Thread thread = new Thread(() -> {
             try {
                 task.run();
@@ -313,7 +315,7 @@
         for (ServerSocket server : engines.values()) {
             server.close();
         }
-        wire.close();
+        fixture.close();
         synchronized (sockets) {
             for (Socket socket : sockets) {
                 socket.close();
--- a/src/test/java/cairnline/program/TerminationTest.java
+++ b/src/test/java/cairnline/program/TerminationTest.java
@@ -53,7 +53,7 @@
                 FrameClient client = new FrameClient(manager.port())) {
             FrameClient.Call load = client.ask("load", "000000000000000a", 25_000);
             FrameClient.Call next = client.ask("load", "000000000000000a", 25_000);
-            while (hung.connects() == 0) {
+            while (hung.acceptedConnections() == 0) {
                 TimeUnit.MILLISECONDS.sleep(1);
             }
             manager.terminate();
--- a/src/test/java/cairnline/program/UncaughtErrorHandlerTest.java
+++ b/src/test/java/cairnline/program/UncaughtErrorHandlerTest.java
@@ -12,50 +12,51 @@
 import org.junit.jupiter.api.Test;
 
 class UncaughtErrorHandlerTest {
-    private final ByteArrayOutputStream written = new ByteArrayOutputStream();
-    private final List<Integer> codes = new ArrayList<>();
-    private final UncaughtErrorHandler faults = new UncaughtErrorHandler(new Clock(), new PrintStream(written), codes::add);
+    private final ByteArrayOutputStream output = new ByteArrayOutputStream();
+    private final List<Integer> exitCodes = new ArrayList<>();
+    private final UncaughtErrorHandler handler =
+            new UncaughtErrorHandler(new Clock(), new PrintStream(output), exitCodes::add);
 
-    private void ends(Runnable task) throws InterruptedException {
+    private void runInThread(Runnable task) throws InterruptedException {
         Thread thread = new Thread(task, "some");
-        thread.setUncaughtExceptionHandler(faults);
+        thread.setUncaughtExceptionHandler(handler);
         thread.start();
         thread.join();
     }
 
     @Test
-    void aFaultOfOneThreadLeavesALineAndNoMore() throws Exception {
-        ends(() -> {
+    void logsExceptionOfOrdinaryThreadAndContinues() throws Exception {
+        runInThread(() -> {
             throw new IllegalStateException("odd");
         });
-        assertTrue(written.toString().contains("thread some: java.lang.IllegalStateException: odd"), written.toString());
-        assertEquals(List.of(), codes);
+        assertTrue(output.toString().contains("thread some: java.lang.IllegalStateException: odd"), output.toString());
+        assertEquals(List.of(), exitCodes);
     }
 
     @Test
-    void theEndOfAThreadThatIsNeededEndsTheProcess() throws Exception {
-        ends(Vital.task(() -> {
+    void exitsWhenCriticalThreadTerminates() throws Exception {
+        runInThread(Vital.task(() -> {
             throw new IllegalStateException("odd");
         }));
-        assertTrue(written.toString().contains("java.lang.IllegalStateException: odd"), written.toString());
-        assertEquals(List.of(UncaughtErrorHandler.CODE), codes);
+        assertTrue(output.toString().contains("java.lang.IllegalStateException: odd"), output.toString());
+        assertEquals(List.of(UncaughtErrorHandler.EXIT_CODE), exitCodes);
     }
 
     @Test
-    void anErrorOfTheVirtualMachineEndsTheProcess() throws Exception {
-        ends(() -> {
+    void exitsOnVirtualMachineError() throws Exception {
+        runInThread(() -> {
             throw new InternalError("broken");
         });
-        assertEquals(List.of(UncaughtErrorHandler.CODE), codes);
+        assertEquals(List.of(UncaughtErrorHandler.EXIT_CODE), exitCodes);
     }
 
     @Test
-    void oneShortageOfMemoryIsSurvivedAndManyInARowAreNot() {
+    void exitsOnlyAfterRepeatedOutOfMemoryErrors() {
         for (int i = 0; i < 4; i++) {
-            faults.uncaughtException(Thread.currentThread(), new OutOfMemoryError("Java heap space"));
+            handler.uncaughtException(Thread.currentThread(), new OutOfMemoryError("Java heap space"));
         }
-        assertEquals(List.of(), codes);
-        faults.uncaughtException(Thread.currentThread(), new OutOfMemoryError("Java heap space"));
-        assertEquals(List.of(UncaughtErrorHandler.CODE), codes);
+        assertEquals(List.of(), exitCodes);
+        handler.uncaughtException(Thread.currentThread(), new OutOfMemoryError("Java heap space"));
+        assertEquals(List.of(UncaughtErrorHandler.EXIT_CODE), exitCodes);
     }
 }
