--- a/src/main/java/cairnline/program/ODataServer.java
+++ b/src/main/java/cairnline/program/ODataServer.java
@@ -34,7 +34,8 @@
         // OData carries neither load reports nor status updates; their absence must not count as a silent engine.
         dispatcher = new Core(configuration.settings().withoutReports(), configuration.seed(), limits, clock,
                 line -> log.warn("module", line),
-                (engine, owner) -> new HttpLink(Server.resolveOrUnreachable(engine.address(), log), owner, limits, loop, connections));
+                (engine, owner) -> new HttpLink(Server.resolveOrUnreachable(engine.address(), log), owner, limits, loop,
+                        connections));
         listUpdates = new EngineList(dispatcher, limits, clock);
         listener = new Listener(odata.listen(), limits.clients().connections() / 2, limits, loop, log);
         front = new ODataFront(listener, dispatcher, odata.model(), configuration.clientTimeouts(), limits, log);
--- a/src/test/java/cairnline/program/ODataProtocolTest.java
+++ b/src/test/java/cairnline/program/ODataProtocolTest.java
@@ -60,11 +60,11 @@
             {batch("", "{\"id\":\"1\",\"method\":\"GET\",\"url\":\"Books(1) HTTP/1.1\\nX: y\"}"), "400"},
             {batch("", read("1", "r1", ",\"headers\":{\"accept\":\"*/*\\nX: y\"}")), "400"},
             {post("/$batch", "Content-Type: text/plain\\r\\n", ""), "415"}, {"nonsense\\r\\n\\r\\n", "400"}};
-        for (String[] each : requestsAndStatuses) {
+        for (String[] requestAndStatus : requestsAndStatuses) {
             play("""
                     client a text %s
                     client a hear HTTP/1.1 %s
-                    client a hear {"error":{"code":\"""".formatted(each[0], each[1]));
+                    client a hear {"error":{"code":\"""".formatted(requestAndStatus[0], requestAndStatus[1]));
         }
     }
 
--- a/src/test/java/cairnline/program/RehearsalTest.java
+++ b/src/test/java/cairnline/program/RehearsalTest.java
@@ -129,9 +129,9 @@
             {"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n", "read 1 0 1 0 0 1"},
             {"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\nHTTP/1.1 200 OK\r\n", "read 1 0 0 1 0 1"},
             {"HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\n\r\n", "read 1 0 0 1 0 0"}};
-        for (String[] each : answersAndReports) {
-            String report = replay("--access-log", log, each[0]);
-            assertTrue(report.contains(each[1]), report);
+        for (String[] answerAndReport : answersAndReports) {
+            String report = replay("--access-log", log, answerAndReport[0]);
+            assertTrue(report.contains(answerAndReport[1]), report);
         }
     }
 
