--- a/example/DemoPlatform.java
+++ b/example/DemoPlatform.java
@@ -14,7 +14,7 @@
  * every query with the same row. With the argument "ask" it is a client that sends one lookup to 127.0.0.1:7001 instead.
  */
 final class DemoPlatform {
-    private static final String ENGINE_LIST_EVENT = "{\"n\":1,\"members\":{\"seq\":1,\"whole\":true,\"hosts\":[{\"host\":\"toy\","
+    private static final String ENGINE_LIST_EVENT = "{\"n\":1,\"members\":{\"seq\":1,\"whole\":true,\"hosts\":[{\"host\":\"demo\","
             + "\"dial\":\"127.0.0.1:7101\",\"site\":\"dc1\",\"class\":\"std16\",\"block\":0,\"health\":\"in_service\","
             + "\"share\":4,\"born_ms\":0}]}}\n";
 
--- a/src/main/java/cairnline/program/Configuration.java
+++ b/src/main/java/cairnline/program/Configuration.java
@@ -33,7 +33,7 @@
     /** Descriptors of the program itself: jar and runtime archives, standard streams, listener, feed; it uses 20 to 25. */
     private static final int PROGRAM_DESCRIPTORS = 32;
     private static final long NANOS_PER_MICRO = 1_000;
-    private static final long KEY_REST_SLACK_NANOS = 100_000_000;
+    private static final long KEY_COOLDOWN_SLACK_NANOS = 100_000_000;
     /** After SIGTERM clients may still connect for up to 0.4 s, and send requests on these connections for 0.2 s more. */
     private static final long SHUTDOWN_ACCEPT_MICROS = 600_000;
     /**
@@ -63,7 +63,8 @@
         initialEvents = parseEvents(known);
         Fields fields = Fields.of(flatten(object(root, "settings")));
         settings = readSettings(fields);
-        long longestDeadline = settings.types().stream().mapToLong(type -> type.deadline()).max().orElse(0);
+        long longestDeadline = settings.types().stream()
+                .mapToLong(requestClass -> requestClass.deadline()).max().orElse(0);
         limits = deriveLimits(root, fields, longestDeadline / NANOS_PER_MICRO);
     }
 
@@ -127,15 +128,16 @@
     /** Returns the client timeout of each class in microseconds. */
     Map<String, Long> clientTimeouts() {
         Map<String, Long> timeouts = new HashMap<>();
-        settings.types().forEach(type -> timeouts.put(type.name(), type.deadline() / NANOS_PER_MICRO));
+        settings.types().forEach(requestClass ->
+                timeouts.put(requestClass.name(), requestClass.deadline() / NANOS_PER_MICRO));
         return timeouts;
     }
 
     /** Returns which fields the requests of each class must carry. */
     Map<String, ClassRules> requestClasses() {
         Map<String, ClassRules> classes = new HashMap<>();
-        settings.types().forEach(type ->
-                classes.put(type.name(), new ClassRules(type.effect() == Effect.KEYED, type.serial())));
+        settings.types().forEach(requestClass -> classes.put(requestClass.name(),
+                new ClassRules(requestClass.effect() == Effect.KEYED, requestClass.serial())));
         return classes;
     }
 
@@ -202,7 +204,7 @@
 
     private static Settings readSettings(Fields fields) {
         try {
-            return withKeyRestSlack(new SettingsReader(fields).read());
+            return withKeyCooldownSlack(new SettingsReader(fields).read());
         } catch (WireException | IllegalArgumentException e) {
             throw new ConfigurationException("settings", e.getMessage());
         }
@@ -213,17 +215,18 @@
      * time limit is overrun slightly, and an attempt that is given up early still counts as running until its client's
      * deadline.
      */
-    private static Settings withKeyRestSlack(Settings settings) {
+    private static Settings withKeyCooldownSlack(Settings settings) {
         Rules rules = settings.rules();
         if (rules.keyRest() == 0) {
             return settings;
         }
         Rules extended = new Rules(rules.drainGrace(), rules.coldFrom(), rules.warmWithin(), rules.tipMultiple(),
-                rules.overloadFor(), rules.keyRest() + KEY_REST_SLACK_NANOS, rules.spareAttempts(), rules.extraPerRequest(),
-                rules.lookBack());
+                rules.overloadFor(), rules.keyRest() + KEY_COOLDOWN_SLACK_NANOS, rules.spareAttempts(),
+                rules.extraPerRequest(), rules.lookBack());
         return new Settings(settings.self(), settings.fronts(), settings.zone(), settings.types(), settings.tenants(),
-                settings.kinds(), settings.permissions(), extended, settings.overShareWorth(), settings.grantCap(),
-                settings.follow(), settings.notePeriod(), settings.marksRepeats(), settings.probePrice());
+                settings.kinds(), settings.permissions(), extended, settings.overShareWorth(),
+                settings.grantCap(), settings.follow(), settings.notePeriod(),
+                settings.marksRepeats(), settings.probePrice());
     }
 
     /** Maps nested values to dotted paths, the form in which the simulator's first message carries them. */
--- a/src/main/java/cairnline/program/ODataConfiguration.java
+++ b/src/main/java/cairnline/program/ODataConfiguration.java
@@ -103,9 +103,10 @@
             return null;
         }
         String name = text(set, path + "." + member, member);
-        Type type = settings.types().stream().filter(t -> t.name().equals(name)).findFirst().orElseThrow(() ->
-                new ConfigurationException(path + "." + member, "is not one of the request classes in the settings: " + name));
-        if (type.effect() != (write ? Effect.KEYED : Effect.SAFE)) {
+        Type requestClass = settings.types().stream().filter(candidate -> candidate.name().equals(name)).findFirst()
+                .orElseThrow(() -> new ConfigurationException(path + "." + member,
+                        "is not one of the request classes in the settings: " + name));
+        if (requestClass.effect() != (write ? Effect.KEYED : Effect.SAFE)) {
             throw new ConfigurationException(path + "." + member, write ? "is not a class with an idempotency key: " + name
                     : "is not a class that is safe to retry: " + name);
         }
--- a/src/main/java/cairnline/program/ServeSettings.java
+++ b/src/main/java/cairnline/program/ServeSettings.java
@@ -46,14 +46,16 @@
         requireOrdered(in, prefix + "pauseLeast", prefix + "pauseMost");
         return new StoreSettings(in.whole(prefix + "generations"), in.amount(prefix + "every"),
                 in.whole(prefix + "writesPerMinute"), (int) in.amount(prefix + "maxBytes"),
-                in.amount(prefix + "clocksDiffer"), in.amount(prefix + "pauseLeast"), in.amount(prefix + "pauseMost"));
+                in.amount(prefix + "clocksDiffer"),
+                in.amount(prefix + "pauseLeast"), in.amount(prefix + "pauseMost"));
     }
 
     private static TrustSettings readTrustSettings(Resolved in, long warmUpMicros) {
         String prefix = "discovery.trust.";
         requireOrdered(in, prefix + "probePause", prefix + "probePauseMost");
         return new TrustSettings(in.amount(prefix + "halfLife"), in.number(prefix + "fresh"), warmUpMicros,
-                in.amount(prefix + "probeWithin"), in.amount(prefix + "probePause"), in.amount(prefix + "probePauseMost"),
+                in.amount(prefix + "probeWithin"),
+                in.amount(prefix + "probePause"), in.amount(prefix + "probePauseMost"),
                 in.whole(prefix + "probesAtOnce"), in.whole(prefix + "enough"), in.amount(prefix + "advice"));
     }
 
--- a/src/main/java/cairnline/program/Server.java
+++ b/src/main/java/cairnline/program/Server.java
@@ -76,8 +76,8 @@
         // Merged into one event: the actor does not run yet, and a full day has more events than its mailbox can hold.
         listUpdates.changed(configuration.lastInitialEventNumber(), true,
                 configuration.initialEvents().stream().allMatch(event -> event.hosts() == null) ? null
-                : FeedClient.entries(FeedEvent.standing(configuration.lastInitialEventNumber(), configuration.initialEvents()),
-                        wallClock));
+                : FeedClient.entries(
+                        FeedEvent.standing(configuration.lastInitialEventNumber(), configuration.initialEvents()), wallClock));
         odataServer = settings.odata() == null ? null
                 : new ODataServer(configuration, settings.odata(), loop, log);
     }
--- a/src/test/java/cairnline/program/DiscoveryTest.java
+++ b/src/test/java/cairnline/program/DiscoveryTest.java
@@ -223,7 +223,8 @@
         assertEquals(30, real.received().size());
         awaitCondition(() -> silent.acceptedConnections() > 0 && foreign.acceptedConnections() > 0);
         assertEquals(0, manager.stop());
-        assertEquals(Map.of("gone", State.ILL, "silent", State.ILL, "foreign", State.MISTAKEN, "real", State.ALIVE),
+        assertEquals(
+                Map.of("gone", State.ILL, "silent", State.ILL, "foreign", State.MISTAKEN, "real", State.ALIVE),
                 storedStates(snapshotFolder(0)));
     }
 
