--- a/src/main/java/cairnline/control/Control.java
+++ b/src/main/java/cairnline/control/Control.java
@@ -130,7 +130,7 @@
 
     /** The one guard of every send. */
     private boolean maySend(Query q, EngineEstimate h) {
-        return !q.closed && h.listed == Listed.READY && placed(q.kin.type, h) && attemptAllowed(q)
+        return !q.closed && h.listed == EngineStatus.READY && placed(q.kin.type, h) && attemptAllowed(q)
                 && keyTurn(q) && repeatAllowed(q, h) && coldRoom(h, coldWeight(q));
     }
 
@@ -658,7 +658,7 @@
                 h.lostProbes = 1;
                 h.probeAt = Math.min(h.probeAt, probes.next(now, hosts.size(), 1));
             }
-            if (h.listed == Listed.READY && now >= h.probeAt) {
+            if (h.listed == EngineStatus.READY && now >= h.probeAt) {
                 h.lostProbes = lost ? h.lostProbes + 1 : 0;
                 h.probeAt = probes.next(now, hosts.size(), h.lostProbes);
                 out.probe(h.id);
@@ -774,12 +774,12 @@
     public void engines(long time, boolean complete, List<Engine> entries) {
         tick(time);
         if (complete) {
-            hosts.values().forEach(h -> h.listed = Listed.GONE);
+            hosts.values().forEach(h -> h.listed = EngineStatus.GONE);
         }
         for (Engine e : entries) {
             EngineEstimate h = hosts.get(e.id());
             if (h == null) {
-                if (e.listed() == Listed.GONE) {
+                if (e.listed() == EngineStatus.GONE) {
                     continue;
                 }
                 h = new EngineEstimate(e, settings, fleets.computeIfAbsent(e.kind(),
@@ -796,7 +796,7 @@
             // An earlier start than thought: what was taken for cold may be warm.
             h.startedAt = h.coldSince = Math.min(h.coldSince, e.startedAt());
         }
-        hosts.values().removeIf(h -> h.listed == Listed.GONE && h.attempts == 0);
+        hosts.values().removeIf(h -> h.listed == EngineStatus.GONE && h.attempts == 0);
         ranked.removeIf(h -> hosts.get(h.id) != h);
         count();
         release();
@@ -816,7 +816,7 @@
         fleets.values().forEach(Fleet::clear);
         for (EngineEstimate h : hosts.values()) {
             h.warmth = h.warmth(settings.rules(), now);
-            if (h.listed == Listed.READY) {
+            if (h.listed == EngineStatus.READY) {
                 h.fleet.count(h.cores * h.warmth, h.attempts, h.threads);
             }
         }
--- a/src/main/java/cairnline/control/ControlApi.java
+++ b/src/main/java/cairnline/control/ControlApi.java
@@ -79,16 +79,16 @@
     }
 
     /** State of an engine's process as listed. */
-    enum Listed { READY, DRAINING, GONE }
+    enum EngineStatus { READY, DRAINING, GONE }
 
     /**
      * A list entry; {@code startedAt} 0 means long ago. Unless {@code sure}, it may have started at any time before, and
      * may warm up as late as the rules let it.
      */
-    record Engine(String id, Listed listed, String zone, String kind, int cell, double size, long startedAt,
+    record Engine(String id, EngineStatus listed, String zone, String kind, int cell, double size, long startedAt,
                   boolean sure) {
         /** One whose start is known. */
-        public Engine(String id, Listed listed, String zone, String kind, int cell, double size, long startedAt) {
+        public Engine(String id, EngineStatus listed, String zone, String kind, int cell, double size, long startedAt) {
             this(id, listed, zone, kind, cell, size, startedAt, true);
         }
     }
--- a/src/main/java/cairnline/control/EngineEstimate.java
+++ b/src/main/java/cairnline/control/EngineEstimate.java
@@ -1,7 +1,7 @@
 package cairnline.control;
 
 import cairnline.control.ControlApi.Engine;
-import cairnline.control.ControlApi.Listed;
+import cairnline.control.ControlApi.EngineStatus;
 import cairnline.control.ControlApi.Load;
 import cairnline.control.ControlApi.Settings;
 import cairnline.control.Query.Attempt;
@@ -105,7 +105,7 @@
     /** Books an attempt on (1) or off (-1). */
     void book(Attempt a, int count) {
         add(a.query.kin.type, a.query.tables, count);
-        if (listed == Listed.READY) {
+        if (listed == EngineStatus.READY) {
             fleet.count(0, count, count * a.query.kin.type.threads());
         }
         Set<Attempt> inFlight = predictors.get(a.query.kin.index).inFlight;
--- a/src/main/java/cairnline/control/EngineState.java
+++ b/src/main/java/cairnline/control/EngineState.java
@@ -2,7 +2,7 @@
 
 import cairnline.control.ControlApi.Engine;
 import cairnline.control.ControlApi.Kind;
-import cairnline.control.ControlApi.Listed;
+import cairnline.control.ControlApi.EngineStatus;
 import cairnline.control.ControlApi.Rules;
 import cairnline.control.ControlApi.Scope;
 import cairnline.control.ControlApi.Type;
@@ -23,7 +23,7 @@
     final Map<Integer, Integer> holding = new HashMap<>();
     /** Work sent while cold. */
     final Window coldSends = new Window();
-    Listed listed = Listed.READY;
+    EngineStatus listed = EngineStatus.READY;
     long startedAt;
     /** Whether that is known; else it may not warm up before the rules' last moment. */
     boolean sure = true;
--- a/src/main/java/cairnline/control/RequestClass.java
+++ b/src/main/java/cairnline/control/RequestClass.java
@@ -1,6 +1,6 @@
 package cairnline.control;
 
-import cairnline.control.ControlApi.Listed;
+import cairnline.control.ControlApi.EngineStatus;
 import cairnline.control.ControlApi.Request;
 import cairnline.control.ControlApi.Type;
 import java.util.TreeSet;
@@ -74,7 +74,7 @@
             Predictor p = h.predictors.get(index);
             crowds += h.crowd(1, now);
             count++;
-            if (p.t > 0 && h.listed == Listed.READY) {
+            if (p.t > 0 && h.listed == EngineStatus.READY) {
                 sum += p.predict(now, ratio, p.crowdThen, p.crowdThen);
                 minima += p.tMin;
                 heard++;
--- a/src/main/java/cairnline/membership/ListedEngine.java
+++ b/src/main/java/cairnline/membership/ListedEngine.java
@@ -1,15 +1,15 @@
 package cairnline.membership;
 
-import cairnline.control.ControlApi.Listed;
+import cairnline.control.ControlApi.EngineStatus;
 
 /**
  * An engine as the list has it; {@code startedAt} is 0 for long ago. Unless {@code sure}, that is only when it was first
  * seen: it may be as cold as one that starts then.
  */
-public record ListedEngine(String id, String address, Listed listed, String zone, String kind, int cell, double size,
+public record ListedEngine(String id, String address, EngineStatus listed, String zone, String kind, int cell, double size,
                            long startedAt, boolean sure) {
     /** One whose start is known. */
-    public ListedEngine(String id, String address, Listed listed, String zone, String kind, int cell, double size,
+    public ListedEngine(String id, String address, EngineStatus listed, String zone, String kind, int cell, double size,
                         long startedAt) {
         this(id, address, listed, zone, kind, cell, size, startedAt, true);
     }
@@ -20,7 +20,7 @@
     }
 
     /** The same engine, listed otherwise. */
-    public ListedEngine as(Listed other) {
+    public ListedEngine as(EngineStatus other) {
         return new ListedEngine(id, address, other, zone, kind, cell, size, startedAt, sure);
     }
 }
--- a/src/main/java/cairnline/membership/Member.java
+++ b/src/main/java/cairnline/membership/Member.java
@@ -1,6 +1,6 @@
 package cairnline.membership;
 
-import cairnline.control.ControlApi.Listed;
+import cairnline.control.ControlApi.EngineStatus;
 
 /**
  * What is believed of one listed engine, and why. Immutable, so that a view of all of them can be handed to another
@@ -51,7 +51,7 @@
     }
 
     Member gone() {
-        return new Member(engine.as(Listed.GONE), State.GONE, trust, toldAt, aliveAt, 0, because);
+        return new Member(engine.as(EngineStatus.GONE), State.GONE, trust, toldAt, aliveAt, 0, because);
     }
 
     Remembered remembered() {
@@ -63,8 +63,8 @@
      * it was first seen alive, at the latest: the module's guard of cold engines does the rest.
      */
     ListedEngine offer() {
-        boolean offered = engine.listed() == Listed.READY && state.isOffered();
-        Listed listed = engine.listed() == Listed.READY && !offered ? Listed.DRAINING : engine.listed();
+        boolean offered = engine.listed() == EngineStatus.READY && state.isOffered();
+        EngineStatus listed = engine.listed() == EngineStatus.READY && !offered ? EngineStatus.DRAINING : engine.listed();
         long startedAt = state == State.ALIVE || state == State.PROVEN ? Math.max(aliveSince, engine.startedAt())
                 : engine.startedAt();
         return new ListedEngine(engine.id(), engine.address(), listed, engine.zone(), engine.kind(), engine.cell(),
--- a/src/main/java/cairnline/membership/Membership.java
+++ b/src/main/java/cairnline/membership/Membership.java
@@ -1,6 +1,6 @@
 package cairnline.membership;
 
-import cairnline.control.ControlApi.Listed;
+import cairnline.control.ControlApi.EngineStatus;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -67,8 +67,8 @@
         }
         for (ListedEngine entry : entries) {
             Member before = members.get(entry.id());
-            urgent |= entry.listed() != Listed.READY && before != null && before.engine().listed() == Listed.READY;
-            if (entry.listed() == Listed.GONE) {
+            urgent |= entry.listed() != EngineStatus.READY && before != null && before.engine().listed() == EngineStatus.READY;
+            if (entry.listed() == EngineStatus.GONE) {
                 remove(entry.id());
             } else {
                 put(Member.told(entry, now, before), now);
@@ -83,7 +83,7 @@
             return;
         }
         Set<String> addresses = new HashSet<>();
-        entries.stream().filter(e -> e.listed() != Listed.GONE).forEach(e -> addresses.add(e.address()));
+        entries.stream().filter(e -> e.listed() != EngineStatus.GONE).forEach(e -> addresses.add(e.address()));
         for (Member m : List.copyOf(members.values())) {
             if (m.state().isUntold() && !named.contains(m.engine().id()) && addresses.contains(m.engine().address())) {
                 all.add(m.gone().engine());
--- a/src/main/java/cairnline/membership/State.java
+++ b/src/main/java/cairnline/membership/State.java
@@ -1,6 +1,6 @@
 package cairnline.membership;
 
-import cairnline.control.ControlApi.Listed;
+import cairnline.control.ControlApi.EngineStatus;
 
 /**
  * What is believed of a listed engine. The transitions stand here and nowhere else; docs/membership.md draws them.
@@ -27,7 +27,7 @@
     GONE;
 
     /** What the feed's word makes of any state. */
-    static State told(Listed listed) {
+    static State told(EngineStatus listed) {
         return switch (listed) {
             case READY -> TOLD;
             case DRAINING -> LEAVING;
--- a/src/main/java/cairnline/program/MeasureDiscovery.java
+++ b/src/main/java/cairnline/program/MeasureDiscovery.java
@@ -1,6 +1,6 @@
 package cairnline.program;
 
-import cairnline.control.ControlApi.Listed;
+import cairnline.control.ControlApi.EngineStatus;
 import cairnline.membership.ListedEngine;
 import cairnline.membership.Membership;
 import cairnline.membership.Remembered;
@@ -73,7 +73,7 @@
         List<ListedEngine> all = new ArrayList<>();
         for (int i = 0; i < engines; i++) {
             all.add(new ListedEngine("s-" + Integer.toHexString(0x10000000 + i), "10.1." + i / 250 + "." + i % 250
-                    + ":7001", Listed.READY, "dc1", "std16", i % 4, 4, 0));
+                    + ":7001", EngineStatus.READY, "dc1", "std16", i % 4, 4, 0));
         }
         return all;
     }
@@ -112,7 +112,7 @@
     // ---- Starts ----
 
     private Remembered kept(String id, String address) {
-        return new Remembered(new ListedEngine(id, address, Listed.READY, "dc1", "std16", 0, 4, 0), State.TOLD,
+        return new Remembered(new ListedEngine(id, address, EngineStatus.READY, "dc1", "std16", 0, 4, 0), State.TOLD,
                 System.currentTimeMillis() * 1_000 - 10 * SECOND, 0);
     }
 
--- a/src/main/java/cairnline/program/ODataConfiguration.java
+++ b/src/main/java/cairnline/program/ODataConfiguration.java
@@ -1,7 +1,7 @@
 package cairnline.program;
 
 import cairnline.control.ControlApi.Effect;
-import cairnline.control.ControlApi.Listed;
+import cairnline.control.ControlApi.EngineStatus;
 import cairnline.control.ControlApi.Settings;
 import cairnline.control.ControlApi.Type;
 import cairnline.protocol.Json;
@@ -54,7 +54,7 @@
             if (!settings.kinds().containsKey(kind)) {
                 throw new ConfigurationException("odata.engines.kind", "is none of the settings' shapes: " + kind);
             }
-            engines.add(new ListedEngine(text(engine, "odata.engines.id", "id"), address, Listed.READY,
+            engines.add(new ListedEngine(text(engine, "odata.engines.id", "id"), address, EngineStatus.READY,
                     settings.zone(), kind, 0, 1, 0));
         }
         return engines;
--- a/src/main/java/cairnline/routing/EngineRegistry.java
+++ b/src/main/java/cairnline/routing/EngineRegistry.java
@@ -1,6 +1,6 @@
 package cairnline.routing;
 
-import cairnline.control.ControlApi.Listed;
+import cairnline.control.ControlApi.EngineStatus;
 import cairnline.membership.ListedEngine;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -53,7 +53,7 @@
             told.forEach(engine -> named.add(engine.id()));
             for (Entry entry : List.copyOf(entries.values())) {
                 if (!named.contains(entry.listed.id())) {
-                    become(now, entry, entry.listed.as(Listed.GONE));
+                    become(now, entry, entry.listed.as(EngineStatus.GONE));
                 }
             }
         }
@@ -76,7 +76,7 @@
         }
         if (known != null) {
             become(now, known, engine);
-        } else if (engine.listed() != Listed.GONE) {
+        } else if (engine.listed() != EngineStatus.GONE) {
             Entry entry = new Entry(engine, links.apply(engine));
             entries.put(engine.id(), entry);
             become(now, entry, engine);
@@ -84,12 +84,12 @@
     }
 
     private void become(long now, Entry entry, ListedEngine engine) {
-        boolean wasReady = entry.listed.listed() == Listed.READY;
+        boolean wasReady = entry.listed.listed() == EngineStatus.READY;
         if (engine.startedAt() > entry.listed.startedAt()) {
             entry.link.renew();
         }
         entry.listed = engine;
-        if (engine.listed() == Listed.READY) {
+        if (engine.listed() == EngineStatus.READY) {
             entry.link.lastSend(Long.MAX_VALUE);
         } else if (wasReady) {
             entry.link.lastSend(now + drainGrace);
@@ -98,7 +98,7 @@
     }
 
     private void closeIfGone(Entry entry) {
-        if (entry.listed.listed() == Listed.GONE && entry.attemptsOut == 0 && entries.remove(entry.listed.id(), entry)) {
+        if (entry.listed.listed() == EngineStatus.GONE && entry.attemptsOut == 0 && entries.remove(entry.listed.id(), entry)) {
             entry.link.close();
         }
     }
--- a/src/main/java/cairnline/simhost/Host.java
+++ b/src/main/java/cairnline/simhost/Host.java
@@ -4,7 +4,7 @@
 import cairnline.control.ControlApi;
 import cairnline.control.ControlApi.End;
 import cairnline.control.ControlApi.Engine;
-import cairnline.control.ControlApi.Listed;
+import cairnline.control.ControlApi.EngineStatus;
 import cairnline.control.ControlApi.Load;
 import cairnline.control.ControlApi.Note;
 import cairnline.control.ControlApi.NoteKind;
@@ -148,11 +148,11 @@
         lists.set(sheet, entries);
     }
 
-    private Listed listed(String line) {
+    private EngineStatus listed(String line) {
         return switch ((int) in.whole("status", 1)) {
-            case 1 -> Listed.READY;
-            case 2 -> Listed.DRAINING;
-            case 0 -> Listed.GONE;
+            case 1 -> EngineStatus.READY;
+            case 2 -> EngineStatus.DRAINING;
+            case 0 -> EngineStatus.GONE;
             default -> throw new WireException("unknown status", line);
         };
     }
--- a/src/main/java/cairnline/store/SnapshotCodec.java
+++ b/src/main/java/cairnline/store/SnapshotCodec.java
@@ -1,6 +1,6 @@
 package cairnline.store;
 
-import cairnline.control.ControlApi.Listed;
+import cairnline.control.ControlApi.EngineStatus;
 import cairnline.membership.ListedEngine;
 import cairnline.membership.Remembered;
 import cairnline.membership.State;
@@ -37,7 +37,7 @@
     /** Of an engine without its texts. */
     private static final int FIXED = 4 * 2 + 2 + 4 + 8 + 3 * 8;
     private static final int TEXT_MOST = 0xFFFF;
-    private static final Listed[] LISTED = Listed.values();
+    private static final EngineStatus[] LISTED = EngineStatus.values();
     private static final State[] STATES = State.values();
 
     private SnapshotCodec() { }
@@ -134,7 +134,7 @@
         String address = text(in);
         String zone = shared.computeIfAbsent(text(in), text -> text);
         String kind = shared.computeIfAbsent(text(in), text -> text);
-        Listed listed = LISTED[in.get()];
+        EngineStatus listed = LISTED[in.get()];
         State state = STATES[in.get()];
         int cell = in.getInt();
         double size = in.getDouble();
--- a/src/main/java/cairnline/transport/FeedClient.java
+++ b/src/main/java/cairnline/transport/FeedClient.java
@@ -1,6 +1,6 @@
 package cairnline.transport;
 
-import cairnline.control.ControlApi.Listed;
+import cairnline.control.ControlApi.EngineStatus;
 import cairnline.protocol.ByteQueue;
 import cairnline.protocol.FeedEvent;
 import cairnline.protocol.ProtocolException;
@@ -159,13 +159,13 @@
     }
 
     private static ListedEngine entry(FeedEvent.Host host, WallClock wallClock) {
-        Listed listed = switch (host.state()) {
-            case IN_SERVICE -> Listed.READY;
-            case TERMINATING -> Listed.DRAINING;
-            case TERMINATED -> Listed.GONE;
+        EngineStatus listed = switch (host.state()) {
+            case IN_SERVICE -> EngineStatus.READY;
+            case TERMINATING -> EngineStatus.DRAINING;
+            case TERMINATED -> EngineStatus.GONE;
         };
         long startedAt = wallClock.startOf(host.id(), Clock.ofUnix(host.bornMs()));
-        if (listed == Listed.GONE) {
+        if (listed == EngineStatus.GONE) {
             wallClock.forget(host.id());
         }
         return new ListedEngine(host.id(), host.address(), listed, host.zone(), host.kind(), host.cell(),
--- a/src/test/java/cairnline/control/FleetTest.java
+++ b/src/test/java/cairnline/control/FleetTest.java
@@ -9,7 +9,7 @@
 import cairnline.control.ControlApi.Effect;
 import cairnline.control.ControlApi.End;
 import cairnline.control.ControlApi.Engine;
-import cairnline.control.ControlApi.Listed;
+import cairnline.control.ControlApi.EngineStatus;
 import cairnline.control.ControlApi.Load;
 import cairnline.control.ControlApi.NoteKind;
 import cairnline.control.ControlApi.Outcome;
@@ -83,7 +83,7 @@
     void newEnginesGetTheirPartOfAllFrontsInEveryWindow() {
         List<Engine> list = new ArrayList<>();
         for (int i = 0; i < ENGINES; i++) {
-            list.add(Script.engine("e" + i, Listed.READY, "plain", i % 3 == 0 ? 100 * SECOND : 0));
+            list.add(Script.engine("e" + i, EngineStatus.READY, "plain", i % 3 == 0 ? 100 * SECOND : 0));
         }
         Map<String, List<Long>> sends = sends(fronts(), list);
         for (int i = 0; i < ENGINES; i += 3) {
@@ -94,7 +94,7 @@
 
     @Test
     void newEnginesAreNotPushedOverWhenTheyAreAllThereIs() {
-        List<Engine> list = List.of(Script.engine("e0", Listed.READY, "plain", 100 * SECOND));
+        List<Engine> list = List.of(Script.engine("e0", EngineStatus.READY, "plain", 100 * SECOND));
         assertUnderTheColdRule(sends(fronts(), list).get("e0"));
         site.fronts = 3;
         List<Script> few = new ArrayList<>();
@@ -277,7 +277,7 @@
         Script s = new Script(site);
         s.list("e1");
         s.take("a", "small");
-        s.change(Script.engine("e1", Listed.DRAINING, "plain", 0));
+        s.change(Script.engine("e1", EngineStatus.DRAINING, "plain", 0));
         s.end("a", 0, "e1", End.FULL, MS);
         s.pass(100 * MS);
         assertEquals(List.of("send a e1"), s.fresh());
--- a/src/test/java/cairnline/control/ManyFrontsTest.java
+++ b/src/test/java/cairnline/control/ManyFrontsTest.java
@@ -7,7 +7,7 @@
 
 import cairnline.control.ControlApi.End;
 import cairnline.control.ControlApi.Engine;
-import cairnline.control.ControlApi.Listed;
+import cairnline.control.ControlApi.EngineStatus;
 import cairnline.control.ControlApi.Load;
 import cairnline.control.Script.Site;
 import java.util.ArrayList;
@@ -24,7 +24,7 @@
     private static List<Engine> large(int count) {
         List<Engine> all = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            all.add(Script.engine("e" + i, Listed.READY, "large", 0));
+            all.add(Script.engine("e" + i, EngineStatus.READY, "large", 0));
         }
         return all;
     }
@@ -132,8 +132,8 @@
         }
         List<Engine> next = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
-            next.add(Script.engine("e" + i, Listed.DRAINING, "large", 0));
-            next.add(Script.engine("f" + i, Listed.READY, "large", 0));
+            next.add(Script.engine("e" + i, EngineStatus.DRAINING, "large", 0));
+            next.add(Script.engine("f" + i, EngineStatus.READY, "large", 0));
         }
         s.control.engines(s.now, true, next);
         for (int i = 0; i < 12; i++) {
@@ -182,8 +182,8 @@
     void aColdEngineCountsByItsCapacityOfTheMoment() {
         for (int seed = 0; seed < 20; seed++) {
             Script s = new Script(site, 100 * SECOND, seed);
-            s.control.engines(s.now, true, List.of(Script.engine("warm", Listed.READY, "large", 0),
-                    Script.engine("cold", Listed.READY, "large", 95 * SECOND)));
+            s.control.engines(s.now, true, List.of(Script.engine("warm", EngineStatus.READY, "large", 0),
+                    Script.engine("cold", EngineStatus.READY, "large", 95 * SECOND)));
             s.take("a", "small");
             assertEquals("warm", s.engineOf("a"));
         }
@@ -192,7 +192,7 @@
     @Test
     void warmthGrowsFromTheColdShareToAllAndNeverWhereTheStartIsUnknown() {
         ControlApi.Rules rules = site.settings().rules();
-        EngineState known = new EngineState(Script.engine("e", Listed.READY, "large", 100 * SECOND), null);
+        EngineState known = new EngineState(Script.engine("e", EngineStatus.READY, "large", 100 * SECOND), null);
         known.coldSince = 100 * SECOND;
         assertEquals(0.4, known.warmth(rules, 100 * SECOND), 1e-9);
         assertEquals(0.4 + 0.6 * 0.25, known.warmth(rules, 105 * SECOND), 1e-9);
--- a/src/test/java/cairnline/control/PlacementTest.java
+++ b/src/test/java/cairnline/control/PlacementTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cairnline.control.ControlApi.Engine;
-import cairnline.control.ControlApi.Listed;
+import cairnline.control.ControlApi.EngineStatus;
 import cairnline.control.ControlApi.Request;
 import cairnline.control.Script.Site;
 import java.util.ArrayList;
@@ -64,7 +64,7 @@
     private static Script front(Site site, int seed) {
         Script s = new Script(site, 100 * SECOND, seed);
         s.control.engines(s.now, true,
-                ids(ENGINES).stream().map(id -> Script.engine(id, Listed.READY, "large", 0)).toList());
+                ids(ENGINES).stream().map(id -> Script.engine(id, EngineStatus.READY, "large", 0)).toList());
         return s;
     }
 
--- a/src/test/java/cairnline/control/RulesTest.java
+++ b/src/test/java/cairnline/control/RulesTest.java
@@ -9,7 +9,7 @@
 import cairnline.control.ControlApi.Effect;
 import cairnline.control.ControlApi.End;
 import cairnline.control.ControlApi.Engine;
-import cairnline.control.ControlApi.Listed;
+import cairnline.control.ControlApi.EngineStatus;
 import cairnline.control.ControlApi.Request;
 import cairnline.control.ControlApi.Scope;
 import cairnline.control.Script.Site;
@@ -151,7 +151,7 @@
         Script s = new Script(site);
         s.list("e1");
         s.take("a", "small");
-        s.change(Script.engine("e1", Listed.GONE, "plain", 0));
+        s.change(Script.engine("e1", EngineStatus.GONE, "plain", 0));
         s.end("a", 0, "e1", End.RESET, MS);
         assertEquals(List.of("send a e1", "fail a"), s.fresh());
     }
@@ -160,10 +160,10 @@
     void nothingNewGoesToADrainingOrGoneEngine() {
         Script s = new Script(site);
         s.list("e1");
-        s.change(Script.engine("e1", Listed.DRAINING, "plain", 0));
+        s.change(Script.engine("e1", EngineStatus.DRAINING, "plain", 0));
         s.take("a", "small");
         s.pass(SECOND);
-        s.change(Script.engine("e1", Listed.GONE, "plain", 0));
+        s.change(Script.engine("e1", EngineStatus.GONE, "plain", 0));
         s.take("b", "small");
         s.pass(4 * SECOND);
         assertEquals(0, s.count("send"));
@@ -229,7 +229,7 @@
     void aColdEngineIsSentNoMoreThanItsShareInAnyWindow() {
         site.fronts = 2;
         Script s = new Script(site);
-        s.change(Script.engine("e1", Listed.READY, "plain", s.now));
+        s.change(Script.engine("e1", EngineStatus.READY, "plain", s.now));
         for (int i = 0; i < 200; i++) {
             s.take("a" + i, "big");
             s.pass(5 * MS);
@@ -241,7 +241,7 @@
     @Test
     void aFrontThatHasJustStartedSparesEnginesThatStartedBeforeIt() {
         Script s = new Script(site);
-        s.change(Script.engine("e1", Listed.READY, "plain", s.now - SECOND));
+        s.change(Script.engine("e1", EngineStatus.READY, "plain", s.now - SECOND));
         s.take("a", "small");
         s.pass(1900 * MS);
         assertEquals(0, s.count("send"));
@@ -307,8 +307,8 @@
         s.list("e1", "e2");
         s.takeKeyed("k0", 7);
         s.now += 2 * SECOND;
-        s.change(Script.engine("e1", Listed.DRAINING, "plain", 0));
-        s.change(Script.engine("e2", Listed.READY, "plain", s.now));
+        s.change(Script.engine("e1", EngineStatus.DRAINING, "plain", 0));
+        s.change(Script.engine("e2", EngineStatus.READY, "plain", s.now));
         s.fresh();
         s.takeKeyed("k1", 7);
         for (int i = 0; i < 60; i++) {
@@ -331,7 +331,7 @@
             Script.Site site = new Script.Site();
             Script script = new Script(site);
             long start = script.now;
-            script.change(new Engine("e", Listed.READY, "north", "plain", 0, 1, start, sure == 1));
+            script.change(new Engine("e", EngineStatus.READY, "north", "plain", 0, 1, start, sure == 1));
             // In one window near the end of the time to warm up, far more is asked than a cold engine may get.
             script.now = start + 9 * Script.SECOND;
             for (int i = 0; i < 100; i++) {
@@ -349,7 +349,7 @@
         Script.Site site = new Script.Site();
         site.coldFrom = 0.8;
         Script script = new Script(site);
-        script.change(new Engine("e", Listed.READY, "north", "plain", 0, 1, script.now, false));
+        script.change(new Engine("e", EngineStatus.READY, "north", "plain", 0, 1, script.now, false));
         double bound = 0.5 * 2 * 0.8 * 8 * 2;
         for (int i = 0; i < 20; i++) {
             script.control.request(script.now, new Request("b" + i, "big", "one", false, 0, 15 * Script.SECOND,
--- a/src/test/java/cairnline/control/Script.java
+++ b/src/test/java/cairnline/control/Script.java
@@ -5,7 +5,7 @@
 import cairnline.control.ControlApi.End;
 import cairnline.control.ControlApi.Engine;
 import cairnline.control.ControlApi.Kind;
-import cairnline.control.ControlApi.Listed;
+import cairnline.control.ControlApi.EngineStatus;
 import cairnline.control.ControlApi.Load;
 import cairnline.control.ControlApi.Note;
 import cairnline.control.ControlApi.NoteKind;
@@ -103,14 +103,14 @@
         return actions.stream().filter(a -> a.startsWith(prefix)).count();
     }
 
-    static Engine engine(String id, Listed listed, String kind, long startedAt) {
+    static Engine engine(String id, EngineStatus listed, String kind, long startedAt) {
         return new Engine(id, listed, "north", kind, id.hashCode() & 1, 1, startedAt);
     }
 
     void list(String... ids) {
         List<Engine> all = new ArrayList<>();
         for (String id : ids) {
-            all.add(engine(id, Listed.READY, "plain", 0));
+            all.add(engine(id, EngineStatus.READY, "plain", 0));
         }
         control.engines(now, true, all);
     }
--- a/src/test/java/cairnline/membership/MembershipTest.java
+++ b/src/test/java/cairnline/membership/MembershipTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cairnline.control.ControlApi.Listed;
+import cairnline.control.ControlApi.EngineStatus;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
@@ -22,12 +22,12 @@
     private final TrustSettings settings = TrustSettings.usual(WARM);
     private final Membership membership = new Membership(settings);
 
-    private static ListedEngine engine(String id, Listed listed) {
+    private static ListedEngine engine(String id, EngineStatus listed) {
         return new ListedEngine(id, "127.0.0.1:" + (7_000 + id.charAt(1)), listed, "dc1", "std16", 0, 1, 0);
     }
 
     private static Remembered kept(String id, State last, long age) {
-        Listed listed = last == State.LEAVING ? Listed.DRAINING : last == State.GONE ? Listed.GONE : Listed.READY;
+        EngineStatus listed = last == State.LEAVING ? EngineStatus.DRAINING : last == State.GONE ? EngineStatus.GONE : EngineStatus.READY;
         return new Remembered(engine(id, listed), last, NOW - age, 0);
     }
 
@@ -44,13 +44,13 @@
         return asked;
     }
 
-    private Listed offered(String id) {
-        return membership.offer(engine(id, Listed.GONE)).listed();
+    private EngineStatus offered(String id) {
+        return membership.offer(engine(id, EngineStatus.GONE)).listed();
     }
 
     @Test
     void whatTheFeedTellsIsOfferedAsItIs() {
-        ListedEngine told = engine("e1", Listed.READY);
+        ListedEngine told = engine("e1", EngineStatus.READY);
         assertEquals(List.of(told), membership.told(NOW, true, List.of(told)));
         assertEquals(told, membership.offer(told));
         for (Evidence each : Evidence.values()) {
@@ -63,10 +63,10 @@
     @Test
     void aRememberedEngineIsOfferedAsJustStartedOnceItAnswers() {
         restore(kept("e1", State.TOLD, 10 * SECOND));
-        assertEquals(Listed.DRAINING, offered("e1"));
+        assertEquals(EngineStatus.DRAINING, offered("e1"));
         assertEquals(List.of("e1"), asked(NOW));
         ListedEngine offer = membership.seen(NOW + 3 * MS, "e1", Evidence.PROBE_ANSWERED);
-        assertEquals(Listed.READY, offer.listed());
+        assertEquals(EngineStatus.READY, offer.listed());
         assertEquals(NOW + 3 * MS, offer.startedAt(), "it may be as cold as one that started when it was first seen");
         assertTrue(!offer.sure(), "and may be the last to warm up");
         assertNull(membership.seen(NOW + 4 * MS, "e1", Evidence.WORK_SERVED), "nothing new to tell the module");
@@ -99,7 +99,7 @@
     @Test
     void theMostTrustedIsAskedFirstAndNoMoreAtOnceThanAllowed() {
         Remembered[] many = IntStream.range(0, 200).mapToObj(i -> new Remembered(new ListedEngine("e" + i,
-                "127.0.0.1:" + (2_000 + i), Listed.READY, "dc1", "std16", 0, 1, 0), State.TOLD, NOW - i * HOUR, 0))
+                "127.0.0.1:" + (2_000 + i), EngineStatus.READY, "dc1", "std16", 0, 1, 0), State.TOLD, NOW - i * HOUR, 0))
                 .toArray(Remembered[]::new);
         restore(many);
         List<String> first = asked(NOW);
@@ -155,7 +155,7 @@
         for (int i = 0; i < 10; i++) {
             assertNull(membership.seen(NOW + i, "e1", Evidence.WORK_SERVED));
         }
-        assertEquals(Listed.DRAINING, offered("e1"));
+        assertEquals(EngineStatus.DRAINING, offered("e1"));
         assertEquals(settings.advice(), membership.comeBack(NOW), "nothing can be offered");
     }
 
@@ -191,9 +191,9 @@
     void theFirstWholeListReplacesAllThatWasRemembered() {
         restore(kept("e1", State.TOLD, 0), kept("e2", State.TOLD, 0), kept("e3", State.TOLD, 0));
         membership.seen(NOW, "e1", Evidence.PROBE_ANSWERED);
-        membership.told(NOW + MS, true, List.of(engine("e1", Listed.READY), engine("e2", Listed.DRAINING)));
+        membership.told(NOW + MS, true, List.of(engine("e1", EngineStatus.READY), engine("e2", EngineStatus.DRAINING)));
         assertEquals(State.TOLD, membership.state("e1"));
-        assertEquals(0, membership.offer(engine("e1", Listed.READY)).startedAt(), "the feed knows since when it runs");
+        assertEquals(0, membership.offer(engine("e1", EngineStatus.READY)).startedAt(), "the feed knows since when it runs");
         assertEquals(State.LEAVING, membership.state("e2"));
         assertNull(membership.state("e3"));
         assertTrue(membership.takeUrgent());
@@ -204,22 +204,22 @@
     @Test
     void anAddressGivenToANewEngineEndsTheOneRememberedThere() {
         restore(kept("e1", State.TOLD, 0), kept("e2", State.TOLD, 0));
-        ListedEngine next = new ListedEngine("n1", engine("e1", Listed.READY).address(), Listed.READY, "dc1", "std16",
+        ListedEngine next = new ListedEngine("n1", engine("e1", EngineStatus.READY).address(), EngineStatus.READY, "dc1", "std16",
                 0, 1, 0);
         List<ListedEngine> entries = membership.told(NOW, false, List.of(next));
         assertEquals(List.of("n1", "e1"), entries.stream().map(ListedEngine::id).toList());
-        assertEquals(Listed.GONE, entries.get(1).listed());
+        assertEquals(EngineStatus.GONE, entries.get(1).listed());
         assertNull(membership.state("e1"));
         assertEquals(State.REMEMBERED, membership.state("e2"));
     }
 
     @Test
     void aDrainIsUrgentToKeepAndAServedRequestIsNot() {
-        membership.told(NOW, true, List.of(engine("e1", Listed.READY)));
+        membership.told(NOW, true, List.of(engine("e1", EngineStatus.READY)));
         assertTrue(membership.takeUrgent());
         membership.seen(NOW, "e1", Evidence.WORK_SERVED);
         assertTrue(!membership.takeUrgent());
-        membership.told(NOW, false, List.of(engine("e1", Listed.DRAINING)));
+        membership.told(NOW, false, List.of(engine("e1", EngineStatus.DRAINING)));
         assertTrue(membership.takeUrgent());
         assertEquals(State.LEAVING, membership.view(NOW).remembered().get(0).last());
     }
--- a/src/test/java/cairnline/program/DiscoveryTest.java
+++ b/src/test/java/cairnline/program/DiscoveryTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cairnline.control.ControlApi.Listed;
+import cairnline.control.ControlApi.EngineStatus;
 import cairnline.membership.ListedEngine;
 import cairnline.membership.Remembered;
 import cairnline.membership.State;
@@ -83,7 +83,7 @@
     }
 
     private static Remembered kept(String id, String address, State last, long age) {
-        Listed listed = last == State.LEAVING ? Listed.DRAINING : Listed.READY;
+        EngineStatus listed = last == State.LEAVING ? EngineStatus.DRAINING : EngineStatus.READY;
         return new Remembered(new ListedEngine(id, address, listed, "dc1", "std16", 0, 4, 0), last, unixMicros() - age, 0);
     }
 
--- a/src/test/java/cairnline/program/Scenario.java
+++ b/src/test/java/cairnline/program/Scenario.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static org.junit.jupiter.api.Assertions.fail;
 
-import cairnline.control.ControlApi.Listed;
+import cairnline.control.ControlApi.EngineStatus;
 import cairnline.routing.Clock;
 import cairnline.routing.Core;
 import cairnline.membership.ListedEngine;
@@ -239,10 +239,10 @@
                 serve(name, server);
             }
         }
-        Listed listed = switch (state) {
-            case "draining" -> Listed.DRAINING;
-            case "gone" -> Listed.GONE;
-            default -> Listed.READY;
+        EngineStatus listed = switch (state) {
+            case "draining" -> EngineStatus.DRAINING;
+            case "gone" -> EngineStatus.GONE;
+            default -> EngineStatus.READY;
         };
         core.listed(false, List.of(new ListedEngine(at[0], "127.0.0.1:" + server.getLocalPort(), listed, "dc1",
                 "std16", 0, 1, 0)));
--- a/src/test/java/cairnline/store/SnapshotCodecTest.java
+++ b/src/test/java/cairnline/store/SnapshotCodecTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.fail;
 
-import cairnline.control.ControlApi.Listed;
+import cairnline.control.ControlApi.EngineStatus;
 import cairnline.membership.ListedEngine;
 import cairnline.membership.Remembered;
 import cairnline.membership.State;
@@ -27,7 +27,7 @@
     static Snapshot snapshot(int engines, long savedAt) {
         List<Remembered> all = new ArrayList<>();
         for (int i = 0; i < engines; i++) {
-            ListedEngine engine = new ListedEngine("s-" + i, "127.0.0.1:" + (1_024 + i), Listed.READY, "dc1", "std16",
+            ListedEngine engine = new ListedEngine("s-" + i, "127.0.0.1:" + (1_024 + i), EngineStatus.READY, "dc1", "std16",
                     i % 3, 4, 0);
             all.add(new Remembered(engine, State.TOLD, savedAt - i, savedAt));
         }
@@ -42,7 +42,7 @@
     Arbitrary<Remembered> engines() {
         Arbitrary<String> text = Arbitraries.strings().ofMaxLength(40).filter(s -> s.equals(new String(
                 s.getBytes(java.nio.charset.StandardCharsets.UTF_8), java.nio.charset.StandardCharsets.UTF_8)));
-        Arbitrary<ListedEngine> listed = Combinators.combine(text, text, Arbitraries.of(Listed.class), text, text,
+        Arbitrary<ListedEngine> listed = Combinators.combine(text, text, Arbitraries.of(EngineStatus.class), text, text,
                 Arbitraries.integers(), Arbitraries.doubles(), Arbitraries.longs()).as(ListedEngine::new);
         return Combinators.combine(listed, Arbitraries.of(State.class), Arbitraries.longs(), Arbitraries.longs())
                 .as(Remembered::new);
@@ -95,7 +95,7 @@
 
     @Test
     void aTextThatIsTooLongIsNoReasonToWriteHalf() {
-        ListedEngine engine = new ListedEngine("s".repeat(70_000), "a", Listed.READY, "z", "k", 0, 1, 0);
+        ListedEngine engine = new ListedEngine("s".repeat(70_000), "a", EngineStatus.READY, "z", "k", 0, 1, 0);
         try {
             SnapshotCodec.encode(new Snapshot(0, List.of(new Remembered(engine, State.TOLD, 0, 0))));
             fail("it was written");
--- a/src/test/java/cairnline/store/SnapshotFolderTest.java
+++ b/src/test/java/cairnline/store/SnapshotFolderTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cairnline.control.ControlApi.Listed;
+import cairnline.control.ControlApi.EngineStatus;
 import cairnline.membership.ListedEngine;
 import cairnline.membership.Membership;
 import cairnline.membership.TrustSettings;
@@ -265,7 +265,7 @@
 
     private static Membership listed() {
         Membership membership = new Membership(TrustSettings.usual(1));
-        membership.told(NOW, true, List.of(new ListedEngine("e1", "127.0.0.1:1", Listed.READY, "z", "k", 0, 1, 0)));
+        membership.told(NOW, true, List.of(new ListedEngine("e1", "127.0.0.1:1", EngineStatus.READY, "z", "k", 0, 1, 0)));
         return membership;
     }
 
