--- a/src/main/java/cairnline/control/Control.java
+++ b/src/main/java/cairnline/control/Control.java
@@ -774,12 +774,12 @@
     public void engines(long time, boolean complete, List<Engine> entries) {
         tick(time);
         if (complete) {
-            hosts.values().forEach(h -> h.listed = EngineStatus.GONE);
+            hosts.values().forEach(h -> h.listed = EngineStatus.REMOVED);
         }
         for (Engine e : entries) {
             EngineEstimate h = hosts.get(e.id());
             if (h == null) {
-                if (e.listed() == EngineStatus.GONE) {
+                if (e.listed() == EngineStatus.REMOVED) {
                     continue;
                 }
                 h = new EngineEstimate(e, settings, fleets.computeIfAbsent(e.kind(),
@@ -796,7 +796,7 @@
             // An earlier start than thought: what was taken for cold may be warm.
             h.startedAt = h.coldSince = Math.min(h.coldSince, e.startedAt());
         }
-        hosts.values().removeIf(h -> h.listed == EngineStatus.GONE && h.attempts == 0);
+        hosts.values().removeIf(h -> h.listed == EngineStatus.REMOVED && h.attempts == 0);
         ranked.removeIf(h -> hosts.get(h.id) != h);
         count();
         release();
--- a/src/main/java/cairnline/membership/Member.java
+++ b/src/main/java/cairnline/membership/Member.java
@@ -51,7 +51,7 @@
     }
 
     Member gone() {
-        return new Member(engine.as(EngineStatus.GONE), State.GONE, trust, toldAt, aliveAt, 0, because);
+        return new Member(engine.as(EngineStatus.REMOVED), State.GONE, trust, toldAt, aliveAt, 0, because);
     }
 
     Remembered remembered() {
--- a/src/main/java/cairnline/routing/EngineRegistry.java
+++ b/src/main/java/cairnline/routing/EngineRegistry.java
@@ -53,7 +53,7 @@
             told.forEach(engine -> named.add(engine.id()));
             for (Entry entry : List.copyOf(entries.values())) {
                 if (!named.contains(entry.listed.id())) {
-                    become(now, entry, entry.listed.as(EngineStatus.GONE));
+                    become(now, entry, entry.listed.as(EngineStatus.REMOVED));
                 }
             }
         }
@@ -76,7 +76,7 @@
         }
         if (known != null) {
             become(now, known, engine);
-        } else if (engine.listed() != EngineStatus.GONE) {
+        } else if (engine.listed() != EngineStatus.REMOVED) {
             Entry entry = new Entry(engine, links.apply(engine));
             entries.put(engine.id(), entry);
             become(now, entry, engine);
@@ -98,7 +98,7 @@
     }
 
     private void closeIfGone(Entry entry) {
-        if (entry.listed.listed() == EngineStatus.GONE && entry.attemptsOut == 0 && entries.remove(entry.listed.id(), entry)) {
+        if (entry.listed.listed() == EngineStatus.REMOVED && entry.attemptsOut == 0 && entries.remove(entry.listed.id(), entry)) {
             entry.link.close();
         }
     }
--- a/src/main/java/cairnline/simhost/Host.java
+++ b/src/main/java/cairnline/simhost/Host.java
@@ -152,7 +152,7 @@
         return switch ((int) in.whole("status", 1)) {
             case 1 -> EngineStatus.READY;
             case 2 -> EngineStatus.DRAINING;
-            case 0 -> EngineStatus.GONE;
+            case 0 -> EngineStatus.REMOVED;
             default -> throw new WireException("unknown status", line);
         };
     }
--- a/src/main/java/cairnline/transport/FeedClient.java
+++ b/src/main/java/cairnline/transport/FeedClient.java
@@ -162,10 +162,10 @@
         EngineStatus listed = switch (host.state()) {
             case IN_SERVICE -> EngineStatus.READY;
             case TERMINATING -> EngineStatus.DRAINING;
-            case TERMINATED -> EngineStatus.GONE;
+            case TERMINATED -> EngineStatus.REMOVED;
         };
         long startedAt = wallClock.startOf(host.id(), Clock.ofUnix(host.bornMs()));
-        if (listed == EngineStatus.GONE) {
+        if (listed == EngineStatus.REMOVED) {
             wallClock.forget(host.id());
         }
         return new ListedEngine(host.id(), host.address(), listed, host.zone(), host.kind(), host.cell(),
--- a/src/test/java/cairnline/control/RulesTest.java
+++ b/src/test/java/cairnline/control/RulesTest.java
@@ -151,7 +151,7 @@
         Script s = new Script(site);
         s.list("e1");
         s.take("a", "small");
-        s.change(Script.engine("e1", EngineStatus.GONE, "plain", 0));
+        s.change(Script.engine("e1", EngineStatus.REMOVED, "plain", 0));
         s.end("a", 0, "e1", End.RESET, MS);
         assertEquals(List.of("send a e1", "fail a"), s.fresh());
     }
@@ -163,7 +163,7 @@
         s.change(Script.engine("e1", EngineStatus.DRAINING, "plain", 0));
         s.take("a", "small");
         s.pass(SECOND);
-        s.change(Script.engine("e1", EngineStatus.GONE, "plain", 0));
+        s.change(Script.engine("e1", EngineStatus.REMOVED, "plain", 0));
         s.take("b", "small");
         s.pass(4 * SECOND);
         assertEquals(0, s.count("send"));
--- a/src/test/java/cairnline/membership/MembershipTest.java
+++ b/src/test/java/cairnline/membership/MembershipTest.java
@@ -27,7 +27,7 @@
     }
 
     private static Remembered kept(String id, State last, long age) {
-        EngineStatus listed = last == State.LEAVING ? EngineStatus.DRAINING : last == State.GONE ? EngineStatus.GONE : EngineStatus.READY;
+        EngineStatus listed = last == State.LEAVING ? EngineStatus.DRAINING : last == State.GONE ? EngineStatus.REMOVED : EngineStatus.READY;
         return new Remembered(engine(id, listed), last, NOW - age, 0);
     }
 
@@ -45,7 +45,7 @@
     }
 
     private EngineStatus offered(String id) {
-        return membership.offer(engine(id, EngineStatus.GONE)).listed();
+        return membership.offer(engine(id, EngineStatus.REMOVED)).listed();
     }
 
     @Test
@@ -208,7 +208,7 @@
                 0, 1, 0);
         List<ListedEngine> entries = membership.told(NOW, false, List.of(next));
         assertEquals(List.of("n1", "e1"), entries.stream().map(ListedEngine::id).toList());
-        assertEquals(EngineStatus.GONE, entries.get(1).listed());
+        assertEquals(EngineStatus.REMOVED, entries.get(1).listed());
         assertNull(membership.state("e1"));
         assertEquals(State.REMEMBERED, membership.state("e2"));
     }
--- a/src/test/java/cairnline/program/Scenario.java
+++ b/src/test/java/cairnline/program/Scenario.java
@@ -241,7 +241,7 @@
         }
         EngineStatus listed = switch (state) {
             case "draining" -> EngineStatus.DRAINING;
-            case "gone" -> EngineStatus.GONE;
+            case "gone" -> EngineStatus.REMOVED;
             default -> EngineStatus.READY;
         };
         core.listed(false, List.of(new ListedEngine(at[0], "127.0.0.1:" + server.getLocalPort(), listed, "dc1",
