--- a/src/main/java/cairnline/control/ControlApi.java
+++ b/src/main/java/cairnline/control/ControlApi.java
@@ -79,7 +79,7 @@
     }
 
     /** State of an engine's process as listed. */
-    enum EngineStatus { READY, DRAINING, GONE }
+    enum EngineStatus { READY, DRAINING, REMOVED }
 
     /**
      * A list entry; {@code startedAt} 0 means long ago. Unless {@code sure}, it may have started at any time before, and
