--- a/src/main/java/cairnline/control/Control.java
+++ b/src/main/java/cairnline/control/Control.java
@@ -563,7 +563,7 @@
         }
         if (q.line != null) {
             q.line.attemptsOut--;
-            if (o.end() == End.TIMEOUT || o.end() == End.RESET || o.end() == End.CANCELLED) {
+            if (o.end() == AttemptStatus.TIMEOUT || o.end() == AttemptStatus.RESET || o.end() == AttemptStatus.CANCELLED) {
                 q.line.restUntil = now + settings.rules().keyRest();
             }
         }
@@ -582,9 +582,9 @@
     /** Only successes teach delays; every outcome speaks of health. */
     private void learn(Attempt a, Outcome o) {
         EngineEstimate h = a.host;
-        h.report(o.load(), o.end() == End.FULL || o.end() == End.TIMEOUT && a.endsAt > now, now);
+        h.report(o.load(), o.end() == AttemptStatus.FULL || o.end() == AttemptStatus.TIMEOUT && a.endsAt > now, now);
         judge(a, o.end());
-        if (o.end() != End.OK) {
+        if (o.end() != AttemptStatus.OK) {
             return;
         }
         RequestClass kin = a.query.kin;
@@ -632,20 +632,20 @@
      * An error counts against its engine once another one has served the request: what no engine can use says
      * nothing of them. Could harm where all engines fail: then none is told apart.
      */
-    private void judge(Attempt a, End end) {
+    private void judge(Attempt a, AttemptStatus end) {
         EngineEstimate h = a.host;
         Query q = a.query;
-        if (end == End.ERROR) {
+        if (end == AttemptStatus.ERROR) {
             h.health.answered();
             q.errors++;
             q.failedBy = q.failedBy == null ? h : q.failedBy;
-        } else if (end == End.OK) {
+        } else if (end == AttemptStatus.OK) {
             h.health.served(usual, now);
             if (q.failedBy != null && q.failedBy != h) {
                 q.failedBy.health.failed(usual, now);
             }
-        } else if (end == End.CONNECT_FAILED || end == End.RESET
-                || end == End.TIMEOUT && settings.notePeriod() == 0) {
+        } else if (end == AttemptStatus.CONNECT_FAILED || end == AttemptStatus.RESET
+                || end == AttemptStatus.TIMEOUT && settings.notePeriod() == 0) {
             h.health.lost(now);
         }
     }
--- a/src/main/java/cairnline/control/ControlApi.java
+++ b/src/main/java/cairnline/control/ControlApi.java
@@ -101,14 +101,14 @@
                    double memory, int tables, boolean repeat) { }
 
     /** How an attempt ended. */
-    enum End {
+    enum AttemptStatus {
         OK(false), ERROR(false), FULL(true), TIMEOUT(false), CONNECT_FAILED(true), RESET(false), CANCELLED(false),
         NOT_SENT(true);
 
         /** True if this end proves that the attempt never ran. */
         public final boolean neverRan;
 
-        End(boolean neverRan) {
+        AttemptStatus(boolean neverRan) {
             this.neverRan = neverRan;
         }
     }
@@ -123,7 +123,7 @@
      * The end of an attempt; {@code last} if the request is over for the client too. {@code work} (ns) and
      * {@code memory} (MB) are what the query needed, 0 where not told.
      */
-    record Outcome(String id, int attempt, String engine, End end, long rtt, boolean last, long work, double memory,
+    record Outcome(String id, int attempt, String engine, AttemptStatus end, long rtt, boolean last, long work, double memory,
                    Load load) { }
 
     /** What a note tells. */
--- a/src/main/java/cairnline/routing/Attempt.java
+++ b/src/main/java/cairnline/routing/Attempt.java
@@ -1,6 +1,6 @@
 package cairnline.routing;
 
-import cairnline.control.ControlApi.End;
+import cairnline.control.ControlApi.AttemptStatus;
 
 /** One send of a request to one engine. Identity tells attempts apart, so no answer can be taken for another's. */
 public final class Attempt {
@@ -22,11 +22,11 @@
     }
 
     /** How an attempt ended; {@code work} in microseconds and {@code memory} in megabytes, 0 where not told. */
-    public record Result(End end, byte[] rows, long work, double memory) {
+    public record Result(AttemptStatus end, byte[] rows, long work, double memory) {
         private static final byte[] NO_ROWS = {};
 
         /** An end without rows. */
-        public static Result of(End end) {
+        public static Result of(AttemptStatus end) {
             return new Result(end, NO_ROWS, 0, 0);
         }
     }
--- a/src/main/java/cairnline/routing/Core.java
+++ b/src/main/java/cairnline/routing/Core.java
@@ -3,7 +3,7 @@
 import cairnline.control.Control;
 import cairnline.control.ControlApi;
 import cairnline.control.ControlApi.Actions;
-import cairnline.control.ControlApi.End;
+import cairnline.control.ControlApi.AttemptStatus;
 import cairnline.control.ControlApi.Load;
 import cairnline.control.ControlApi.Note;
 import cairnline.control.ControlApi.NoteKind;
@@ -267,7 +267,7 @@
         tell(() -> control.abandoned(moduleNow(), o.id));
         if (o.detached && settings.permissions().cancel()) {
             // The module has been told before, when what was out might still be answered.
-            List.copyOf(o.out).forEach(attempt -> timers.at(now, () -> giveUp(attempt, End.CANCELLED)));
+            List.copyOf(o.out).forEach(attempt -> timers.at(now, () -> giveUp(attempt, AttemptStatus.CANCELLED)));
         }
     }
 
@@ -336,10 +336,10 @@
         if (ended.engine != null) {
             engines.attemptEnded(ended.engine);
         }
-        if (result.end() == End.OK || result.end() == End.FULL || result.end() == End.ERROR) {
+        if (result.end() == AttemptStatus.OK || result.end() == AttemptStatus.FULL || result.end() == AttemptStatus.ERROR) {
             seen(a.engine(), Evidence.WORK_SERVED);
         }
-        if (result.end() == End.OK) {
+        if (result.end() == AttemptStatus.OK) {
             answer(o, Answer.served(result.rows()));
         }
         if (o.detached && o.out.isEmpty()) {
@@ -356,7 +356,7 @@
      * Ends an attempt from this side. The engine must be told: until then it counts as out, and a load that follows
      * it on its key would break the order.
      */
-    private void giveUp(Attempt a, End how) {
+    private void giveUp(Attempt a, AttemptStatus how) {
         Out given = out.get(a);
         if (given != null) {
             given.engine.link().giveUp(a);
@@ -381,11 +381,11 @@
         out.put(a, new Out(o, engine));
         trace.step("sent", o.request, engineId, now, Integer.toString(a.number()));
         if (o.answered || o.detached || engine == null || endsAt <= now) {
-            timers.at(now, () -> end(a, Attempt.Result.of(End.NOT_SENT)));
+            timers.at(now, () -> end(a, Attempt.Result.of(AttemptStatus.NOT_SENT)));
         } else if (engine.link().send(a)) {
-            timers.at(endsAt, () -> giveUp(a, End.TIMEOUT));
+            timers.at(endsAt, () -> giveUp(a, AttemptStatus.TIMEOUT));
         } else {
-            timers.at(now, () -> end(a, Attempt.Result.of(End.FULL)));
+            timers.at(now, () -> end(a, Attempt.Result.of(AttemptStatus.FULL)));
         }
     }
 
@@ -397,7 +397,7 @@
             return;
         }
         Attempt a = o.attempts.get(number);
-        timers.at(now, () -> giveUp(a, End.CANCELLED));
+        timers.at(now, () -> giveUp(a, AttemptStatus.CANCELLED));
     }
 
     @Override
--- a/src/main/java/cairnline/routing/OpenRequest.java
+++ b/src/main/java/cairnline/routing/OpenRequest.java
@@ -1,6 +1,6 @@
 package cairnline.routing;
 
-import cairnline.control.ControlApi.End;
+import cairnline.control.ControlApi.AttemptStatus;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -29,10 +29,10 @@
     }
 
     /** An attempt of it has ended in this way. */
-    void ended(Attempt attempt, End end) {
+    void ended(Attempt attempt, AttemptStatus end) {
         out.remove(attempt);
-        timedOut |= end == End.TIMEOUT;
-        mayHaveRun |= end != End.NOT_SENT && end != End.FULL && end != End.CONNECT_FAILED;
+        timedOut |= end == AttemptStatus.TIMEOUT;
+        mayHaveRun |= end != AttemptStatus.NOT_SENT && end != AttemptStatus.FULL && end != AttemptStatus.CONNECT_FAILED;
     }
 
     /** Whether time ran out for an attempt of it. */
--- a/src/main/java/cairnline/simhost/Host.java
+++ b/src/main/java/cairnline/simhost/Host.java
@@ -2,7 +2,7 @@
 
 import cairnline.control.Control;
 import cairnline.control.ControlApi;
-import cairnline.control.ControlApi.End;
+import cairnline.control.ControlApi.AttemptStatus;
 import cairnline.control.ControlApi.Engine;
 import cairnline.control.ControlApi.EngineStatus;
 import cairnline.control.ControlApi.Load;
@@ -118,7 +118,7 @@
             case "STATUS_NOTE" -> note(control, line, now);
             case "ABANDONED" -> control.abandoned(now, in.text("msgId"));
             case "TIMER" -> control.timer(now, in.whole("handle"));
-            case "ECHO" -> control.probed(now, in.text("engine"), end(line) == End.OK, in.whole("rttNs", 0), load(line));
+            case "ECHO" -> control.probed(now, in.text("engine"), end(line) == AttemptStatus.OK, in.whole("rttNs", 0), load(line));
             case "PEER" -> control.peer(now, (int) in.whole("sender"), bytes(line));
             default -> throw new WireException("unknown event " + name, line);
         }
@@ -195,16 +195,16 @@
                 cost % COST_BASE * MB_PER_COST_UNIT, load(line));
     }
 
-    private End end(String line) {
+    private AttemptStatus end(String line) {
         return switch ((int) in.whole("how")) {
-            case 10 -> End.OK;
-            case 20 -> End.ERROR;
-            case 30 -> End.FULL;
-            case 40 -> End.TIMEOUT;
-            case 50 -> End.CONNECT_FAILED;
-            case 60 -> End.RESET;
-            case 70 -> End.CANCELLED;
-            case 80 -> End.NOT_SENT;
+            case 10 -> AttemptStatus.OK;
+            case 20 -> AttemptStatus.ERROR;
+            case 30 -> AttemptStatus.FULL;
+            case 40 -> AttemptStatus.TIMEOUT;
+            case 50 -> AttemptStatus.CONNECT_FAILED;
+            case 60 -> AttemptStatus.RESET;
+            case 70 -> AttemptStatus.CANCELLED;
+            case 80 -> AttemptStatus.NOT_SENT;
             default -> throw new WireException("unknown outcome", line);
         };
     }
--- a/src/main/java/cairnline/transport/HttpConnection.java
+++ b/src/main/java/cairnline/transport/HttpConnection.java
@@ -1,6 +1,6 @@
 package cairnline.transport;
 
-import cairnline.control.ControlApi.End;
+import cairnline.control.ControlApi.AttemptStatus;
 import cairnline.protocol.HttpDecoder;
 import cairnline.protocol.HttpMessage;
 import cairnline.protocol.ODataPages;
@@ -88,7 +88,7 @@
             }
         }
         if (!allowed) {
-            core.ended(next, Attempt.Result.of(End.NOT_SENT));
+            core.ended(next, Attempt.Result.of(AttemptStatus.NOT_SENT));
             return null;
         }
         return withHost(HttpMessage.of(next.request().statement()));
@@ -142,9 +142,9 @@
         }
         int status = answer.status();
         if (status == FULL || status == TOO_MANY) {
-            end(answer, Attempt.Result.of(End.FULL));
+            end(answer, Attempt.Result.of(AttemptStatus.FULL));
         } else if (status >= ERRORS && status != NOT_IMPLEMENTED) {
-            end(answer, Attempt.Result.of(End.ERROR));
+            end(answer, Attempt.Result.of(AttemptStatus.ERROR));
         } else {
             page(now, answer);
         }
@@ -161,16 +161,16 @@
             good = false;
         }
         if (!good || pageCount > limits.http().pages()) {
-            end(answer, Attempt.Result.of(End.ERROR));
+            end(answer, Attempt.Result.of(AttemptStatus.ERROR));
         } else if (next != null && now.wanted() && !answer.closes()) {
             peer.send(withHost(HttpMessage.request("GET", next, Map.of("accept", "application/json"),
                     new byte[0])));
         } else if (next != null && now.wanted()) {
-            end(answer, Attempt.Result.of(End.ERROR));
+            end(answer, Attempt.Result.of(AttemptStatus.ERROR));
         } else {
             byte[] whole = pages.whole().bytes();
-            end(answer, whole.length > limits.http().bodyBytes() ? Attempt.Result.of(End.ERROR)
-                    : new Attempt.Result(End.OK, whole, 0, 0));
+            end(answer, whole.length > limits.http().bodyBytes() ? Attempt.Result.of(AttemptStatus.ERROR)
+                    : new Attempt.Result(AttemptStatus.OK, whole, 0, 0));
         }
     }
 
@@ -216,7 +216,7 @@
             attempt = null;
         }
         if (lost != null) {
-            End end = written ? End.RESET : wasUp ? End.NOT_SENT : End.CONNECT_FAILED;
+            AttemptStatus end = written ? AttemptStatus.RESET : wasUp ? AttemptStatus.NOT_SENT : AttemptStatus.CONNECT_FAILED;
             core.ended(lost, Attempt.Result.of(end));
         }
     }
--- a/src/main/java/cairnline/transport/RespConnection.java
+++ b/src/main/java/cairnline/transport/RespConnection.java
@@ -1,6 +1,6 @@
 package cairnline.transport;
 
-import cairnline.control.ControlApi.End;
+import cairnline.control.ControlApi.AttemptStatus;
 import cairnline.control.ControlApi.NoteKind;
 import cairnline.membership.Evidence;
 import cairnline.protocol.EngineMessage;
@@ -184,7 +184,7 @@
             }
         }
         if (!allowed) {
-            core.ended(attempt, Attempt.Result.of(End.NOT_SENT));
+            core.ended(attempt, Attempt.Result.of(AttemptStatus.NOT_SENT));
             return null;
         }
         Map<String, String> fields = new LinkedHashMap<>();
@@ -306,9 +306,9 @@
         switch (message.kind()) {
             case OK -> first(exchange, message);
             case PAGE -> page(exchange, message);
-            case FULL -> end(exchange, Attempt.Result.of(End.FULL));
-            case ERROR -> end(exchange, Attempt.Result.of(End.ERROR));
-            case STALE -> end(exchange, Attempt.Result.of(End.NOT_SENT));
+            case FULL -> end(exchange, Attempt.Result.of(AttemptStatus.FULL));
+            case ERROR -> end(exchange, Attempt.Result.of(AttemptStatus.ERROR));
+            case STALE -> end(exchange, Attempt.Result.of(AttemptStatus.NOT_SENT));
             case NOTE -> note(exchange.attempt, message);
             case PROBE -> throw new ProtocolException("a probe's word for a request");
         }
@@ -321,7 +321,7 @@
         }
         boolean isPaged = exchange.result.count() > 1;
         if (isPaged && !exchange.attempt.wanted()) {
-            forget(exchange, Attempt.Result.of(End.OK));
+            forget(exchange, Attempt.Result.of(AttemptStatus.OK));
             return;
         }
         if (isPaged) {
@@ -338,7 +338,7 @@
         if (exchange.attempt.wanted()) {
             put(exchange, message.page(), message.body());
         } else {
-            forget(exchange, Attempt.Result.of(End.OK));
+            forget(exchange, Attempt.Result.of(AttemptStatus.OK));
         }
     }
 
@@ -346,9 +346,9 @@
         PagedResult result = exchange.result;
         result.put(page, rows);
         if (result.size() > limits.engines().resultBytes()) {
-            forget(exchange, Attempt.Result.of(End.ERROR));
+            forget(exchange, Attempt.Result.of(AttemptStatus.ERROR));
         } else if (result.isWhole()) {
-            end(exchange, new Attempt.Result(End.OK, result.whole(), result.work(), result.memory()));
+            end(exchange, new Attempt.Result(AttemptStatus.OK, result.whole(), result.work(), result.memory()));
         }
     }
 
@@ -374,7 +374,7 @@
             if (!exchanges.remove(id, exchange)) {
                 return;
             }
-            if (result.end() != End.OK || !exchange.result.isWhole()) {
+            if (result.end() != AttemptStatus.OK || !exchange.result.isWhole()) {
                 // A further attempt bears the same id: it must not meet here what may still come of this one.
                 undone.put(id, Boolean.TRUE);
             }
@@ -426,7 +426,7 @@
             core.witnessed(link.engine(), told);
         }
         for (Exchange exchange : out) {
-            End end = exchange.written ? End.RESET : wasUp ? End.NOT_SENT : End.CONNECT_FAILED;
+            AttemptStatus end = exchange.written ? AttemptStatus.RESET : wasUp ? AttemptStatus.NOT_SENT : AttemptStatus.CONNECT_FAILED;
             core.ended(exchange.attempt, Attempt.Result.of(end));
         }
         asked.forEach(probe -> probe.answer.accept(null));
--- a/src/test/java/cairnline/control/DecisionsTest.java
+++ b/src/test/java/cairnline/control/DecisionsTest.java
@@ -7,7 +7,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cairnline.control.ControlApi.End;
+import cairnline.control.ControlApi.AttemptStatus;
 import cairnline.control.ControlApi.Load;
 import cairnline.control.ControlApi.Outcome;
 import cairnline.control.Script.Site;
@@ -23,7 +23,7 @@
     private static void serve(Script s, String id, String type, long rtt) {
         s.take(id, type);
         s.pass(rtt);
-        s.end(id, 0, s.engineOf(id), End.OK, rtt);
+        s.end(id, 0, s.engineOf(id), AttemptStatus.OK, rtt);
     }
 
     @Test
@@ -36,10 +36,10 @@
             s.take(id, "small");
             if (s.engineOf(id).equals("e1")) {
                 failed++;
-                s.end(id, 0, "e1", End.ERROR, MS);
+                s.end(id, 0, "e1", AttemptStatus.ERROR, MS);
             }
             s.pass(100 * MS);
-            s.end(id, (int) s.count("send " + id + " ") - 1, "e2", End.OK, 100 * MS);
+            s.end(id, (int) s.count("send " + id + " ") - 1, "e2", AttemptStatus.OK, 100 * MS);
         }
         assertTrue(failed <= 15, "sent to the failing engine: " + failed);
     }
@@ -65,7 +65,7 @@
         for (int i = 0; i < 20; i++) {
             s.take("a" + i, "small");
             for (int n = 0; n < 3 && s.count("send a" + i + " ") == n + 1; n++) {
-                s.end("a" + i, n, s.engineOf("a" + i), End.ERROR, MS);
+                s.end("a" + i, n, s.engineOf("a" + i), AttemptStatus.ERROR, MS);
             }
         }
         s.take("b", "small");
@@ -79,7 +79,7 @@
         for (int i = 0; i < 6; i++) {
             s.take("big" + i, "big");
         }
-        s.end("big0", 0, "e1", End.FULL, MS);
+        s.end("big0", 0, "e1", AttemptStatus.FULL, MS);
         s.fresh();
         for (int i = 6; i < 12; i++) {
             s.take("big" + i, "big");
@@ -87,7 +87,7 @@
         s.take("small0", "small");
         s.fresh();
         for (int i = 1; i < 6; i++) {
-            s.end("big" + i, 0, "e1", End.OK, 100 * MS);
+            s.end("big" + i, 0, "e1", AttemptStatus.OK, 100 * MS);
         }
         List<String> sent = new ArrayList<>(s.fresh());
         sent.removeIf(a -> !a.startsWith("send"));
@@ -131,10 +131,10 @@
         s.list("e1", "e2");
         for (int i = 0; i < 80; i++) {
             s.takeTold("a" + i, "small", SECOND);
-            s.end("a" + i, 0, s.engineOf("a" + i), End.OK, 100 * MS);
+            s.end("a" + i, 0, s.engineOf("a" + i), AttemptStatus.OK, 100 * MS);
             s.takeTold("b" + i, "big", 50 * MS);
             s.pass(2 * SECOND);
-            s.end("b" + i, 0, s.engineOf("b" + i), End.OK, 2 * SECOND);
+            s.end("b" + i, 0, s.engineOf("b" + i), AttemptStatus.OK, 2 * SECOND);
         }
         s.takeTold("x", "big", 50 * MS);
         assertTrue(s.actions.contains("terms x 0 3"), "the last actions: " + s.fresh());
@@ -162,7 +162,7 @@
     void aRunawayIsCalledOffAndTriedAgain() {
         Script s = afterHalfASecond(0.02);
         assertEquals(1, s.count("cancel x 0"));
-        s.end("x", 0, s.engineOf("x"), End.CANCELLED, 500 * MS);
+        s.end("x", 0, s.engineOf("x"), AttemptStatus.CANCELLED, 500 * MS);
         assertEquals(2, s.count("send x"));
     }
 
@@ -188,7 +188,7 @@
         Load full = new Load(Double.NaN, Double.NaN, 60, 1.5, Double.NaN);
         s.take("a", "small");
         String first = s.engineOf("a");
-        s.control.outcome(s.now, new Outcome("a", 0, first, End.OK, 50 * MS, true, 0, 0, full));
+        s.control.outcome(s.now, new Outcome("a", 0, first, AttemptStatus.OK, 50 * MS, true, 0, 0, full));
         s.take("b", "small");
         assertNotEquals(first, s.engineOf("b"));
         s.pass(60 * SECOND);
@@ -282,7 +282,7 @@
             for (String each : List.of(id, "also" + id)) {
                 String at = s.engineOf(each);
                 Load load = i == 19 && at.equals(first) ? busy : idle;
-                s.control.outcome(s.now, new Outcome(each, 0, at, End.OK, 50 * MS, true, 0, 0, load));
+                s.control.outcome(s.now, new Outcome(each, 0, at, AttemptStatus.OK, 50 * MS, true, 0, 0, load));
             }
         }
         for (int i = 0; i < 4; i++) {
@@ -298,8 +298,8 @@
         s.take("a", "small");
         assertThrows(IllegalArgumentException.class, () -> s.take("a", "small"));
         assertThrows(IllegalArgumentException.class, () -> s.take("b", "unheard of"));
-        s.end("a", 5, "e1", End.OK, MS);
-        s.end("nobody", 0, "e1", End.OK, MS);
+        s.end("a", 5, "e1", AttemptStatus.OK, MS);
+        s.end("nobody", 0, "e1", AttemptStatus.OK, MS);
         s.now -= SECOND;
         assertThrows(IllegalArgumentException.class, () -> s.take("c", "small"));
     }
@@ -327,7 +327,7 @@
         s.take("q" + i, i % 5 == 0 ? "big" : "small");
         s.pass(7 * MS);
         if (i >= 10 && s.engineOf("q" + (i - 10)) != null) {
-            End end = i % 17 == 0 ? End.ERROR : End.OK;
+            AttemptStatus end = i % 17 == 0 ? AttemptStatus.ERROR : AttemptStatus.OK;
             s.end("q" + (i - 10), 0, s.engineOf("q" + (i - 10)), end, 70 * MS);
         }
     }
--- a/src/test/java/cairnline/control/EmbeddingTest.java
+++ b/src/test/java/cairnline/control/EmbeddingTest.java
@@ -15,7 +15,7 @@
         front.take("query-1", "small");
         assertEquals(List.of("send query-1 engine-1"), front.fresh());
         front.pass(80 * Script.MS);
-        front.end("query-1", 0, "engine-1", ControlApi.End.OK, 80 * Script.MS);
+        front.end("query-1", 0, "engine-1", ControlApi.AttemptStatus.OK, 80 * Script.MS);
         assertEquals(List.of(), front.fresh());
     }
 }
--- a/src/test/java/cairnline/control/FleetTest.java
+++ b/src/test/java/cairnline/control/FleetTest.java
@@ -7,7 +7,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cairnline.control.ControlApi.Effect;
-import cairnline.control.ControlApi.End;
+import cairnline.control.ControlApi.AttemptStatus;
 import cairnline.control.ControlApi.Engine;
 import cairnline.control.ControlApi.EngineStatus;
 import cairnline.control.ControlApi.Load;
@@ -143,7 +143,7 @@
                 }
                 s.pass(50 * MS);
                 boolean reset = (i + n) % 3 == 0;
-                s.end(id, n, engine, reset ? End.RESET : End.OK, 50 * MS);
+                s.end(id, n, engine, reset ? AttemptStatus.RESET : AttemptStatus.OK, 50 * MS);
             }
             s.actions.clear();
         }
@@ -152,7 +152,7 @@
     }
 
     /** Takes eight, lets those at one engine end so at once, and counts what it gets of the next forty. */
-    private long afterLossAt(Script s, End end, boolean probed) {
+    private long afterLossAt(Script s, AttemptStatus end, boolean probed) {
         s.list("e1", "e2");
         for (int i = 0; i < 8; i++) {
             s.take("a" + i, "small");
@@ -170,7 +170,7 @@
         for (int i = 0; i < 40; i++) {
             s.take("b" + i, "small");
             s.pass(50 * MS);
-            s.end("b" + i, 0, s.engineOf("b" + i), End.OK, 50 * MS);
+            s.end("b" + i, 0, s.engineOf("b" + i), AttemptStatus.OK, 50 * MS);
         }
         return s.actions.stream().filter(a -> a.matches("send b[0-9]+ e1.*")).count();
     }
@@ -178,7 +178,7 @@
     @Test
     void attemptsLostTogetherWithTheirConnectionLeaveTheEngineInUse() {
         site.attempts = 1;
-        assertTrue(afterLossAt(new Script(site), End.RESET, false) >= 8);
+        assertTrue(afterLossAt(new Script(site), AttemptStatus.RESET, false) >= 8);
     }
 
     @Test
@@ -189,9 +189,9 @@
         for (int i = 0; i < 4; i++) {
             s.take("c" + i, "small");
             s.pass(300 * MS);
-            s.end("c" + i, 0, s.engineOf("c" + i), s.engineOf("c" + i).equals("e1") ? End.CONNECT_FAILED : End.OK, MS);
+            s.end("c" + i, 0, s.engineOf("c" + i), s.engineOf("c" + i).equals("e1") ? AttemptStatus.CONNECT_FAILED : AttemptStatus.OK, MS);
         }
-        assertTrue(afterLossAt(s, End.CONNECT_FAILED, true) >= 8);
+        assertTrue(afterLossAt(s, AttemptStatus.CONNECT_FAILED, true) >= 8);
     }
 
     @Test
@@ -212,14 +212,14 @@
             s.take("a" + i, "small");
             for (int n = 0; n < 3 && s.count("send a" + i + " ") == n + 1; n++) {
                 s.pass(5 * MS);
-                s.end("a" + i, n, s.engineOf("a" + i), End.ERROR, 5 * MS);
+                s.end("a" + i, n, s.engineOf("a" + i), AttemptStatus.ERROR, 5 * MS);
             }
         }
         s.actions.clear();
         for (int i = 0; i < 60; i++) {
             s.take("b" + i, "small");
             s.pass(50 * MS);
-            s.end("b" + i, 0, s.engineOf("b" + i), End.OK, 50 * MS);
+            s.end("b" + i, 0, s.engineOf("b" + i), AttemptStatus.OK, 50 * MS);
         }
         for (String engine : List.of("e1", "e2", "e3")) {
             assertTrue(s.actions.stream().filter(a -> a.matches("send b[0-9]+ " + engine + ".*")).count() >= 8, engine);
@@ -235,7 +235,7 @@
             s.take("a" + i, "small");
             assertEquals(0, s.timeOuts.get("a" + i));
             s.pass(80 * MS);
-            s.end("a" + i, 0, s.engineOf("a" + i), End.OK, 80 * MS);
+            s.end("a" + i, 0, s.engineOf("a" + i), AttemptStatus.OK, 80 * MS);
         }
     }
 
@@ -255,7 +255,7 @@
                 assertTrue(s.now < first + site.window, "attempt " + n + " after " + (s.now - first) / MS + " ms");
                 long taken = s.timeOuts.get(id) > 0 ? s.timeOuts.get(id) : 900 * MS;
                 s.pass(taken);
-                s.end(id, n, s.engineOf(id), End.TIMEOUT, taken);
+                s.end(id, n, s.engineOf(id), AttemptStatus.TIMEOUT, taken);
             }
             s.actions.clear();
         }
@@ -278,7 +278,7 @@
         s.list("e1");
         s.take("a", "small");
         s.change(Script.engine("e1", EngineStatus.DRAINING, "plain", 0));
-        s.end("a", 0, "e1", End.FULL, MS);
+        s.end("a", 0, "e1", AttemptStatus.FULL, MS);
         s.pass(100 * MS);
         assertEquals(List.of("send a e1"), s.fresh());
         s.list("e2");
@@ -294,7 +294,7 @@
         String jammed = s.engineOf("a");
         s.pass(50 * MS);
         Load load = new Load(0.2, 0, Double.NaN, 2, 0.2);
-        s.control.outcome(s.now, new Outcome("a", 0, jammed, End.OK, 50 * MS, true, 0, 0, load));
+        s.control.outcome(s.now, new Outcome("a", 0, jammed, AttemptStatus.OK, 50 * MS, true, 0, 0, load));
         for (int i = 0; i < 6; i++) {
             s.take("b" + i, "small");
             assertNotEquals(jammed, s.engineOf("b" + i));
@@ -309,7 +309,7 @@
         for (int i = 0; i < 10; i++) {
             s.takeWithMemory("a" + i, "big", 400);
             s.note("a" + i, 0, NoteKind.SPILL, 100);
-            s.end("a" + i, 0, s.engineOf("a" + i), End.OK, 300 * MS);
+            s.end("a" + i, 0, s.engineOf("a" + i), AttemptStatus.OK, 300 * MS);
         }
         s.takeWithMemory("x", "big", 400);
         assertTrue(s.actions.contains("terms x 621 1"), s.actions.toString());
@@ -333,7 +333,7 @@
         Script s = new Script(site);
         s.list("e1", "e2");
         s.take("a", "small");
-        s.end("a", 0, s.engineOf("a"), End.OK, 100 * MS);
+        s.end("a", 0, s.engineOf("a"), AttemptStatus.OK, 100 * MS);
         s.fresh();
         s.control.request(s.now, new ControlApi.Request("b", "small", "one", false, 0, 2 * SECOND, 0, 0, -1, true));
         assertEquals(List.of("refuse b"), s.fresh());
@@ -355,7 +355,7 @@
         s.pass(500 * MS);
         assertEquals(1, s.count("cancel a 0"));
         String silent = s.engineOf("a");
-        s.end("a", 0, silent, End.CANCELLED, 1600 * MS);
+        s.end("a", 0, silent, AttemptStatus.CANCELLED, 1600 * MS);
         assertEquals(2, s.count("send a"));
         assertNotEquals(silent, s.engineOf("a"));
     }
@@ -401,7 +401,7 @@
         String held = s.engineOf("a");
         s.note("a", 0, NoteKind.WAITS_LOAD, 2);
         assertEquals(1, s.count("cancel a 0"));
-        s.end("a", 0, held, End.CANCELLED, 5 * MS);
+        s.end("a", 0, held, AttemptStatus.CANCELLED, 5 * MS);
         assertNotEquals(held, s.engineOf("a"));
         s.note("a", 1, NoteKind.WAITS_LOAD, 2);
         assertEquals(0, s.count("cancel a 1"));
@@ -419,7 +419,7 @@
             long rtt = i % 3 == 0 ? 400 * MS : 900 * MS;
             s.pass(rtt);
             if (s.count("send " + id + " ") == 1) {
-                s.end(id, 0, s.engineOf(id), End.OK, rtt);
+                s.end(id, 0, s.engineOf(id), AttemptStatus.OK, rtt);
             }
         }
         long refused = s.count("refuse");
--- a/src/test/java/cairnline/control/ManyFrontsTest.java
+++ b/src/test/java/cairnline/control/ManyFrontsTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cairnline.control.ControlApi.End;
+import cairnline.control.ControlApi.AttemptStatus;
 import cairnline.control.ControlApi.Engine;
 import cairnline.control.ControlApi.EngineStatus;
 import cairnline.control.ControlApi.Load;
@@ -54,7 +54,7 @@
                 s.pass(50 * MS);
                 byTick.merge((long) i, (int) (s.count("probe") - before), Integer::sum);
                 if (i % 2 == 0 && s.count("send q" + i + " ") > 0) {
-                    s.end("q" + i, 0, s.engineOf("q" + i), End.OK, 50 * MS);
+                    s.end("q" + i, 0, s.engineOf("q" + i), AttemptStatus.OK, 50 * MS);
                 }
             }
             s.actions.stream().filter(a -> a.startsWith("probe"))
@@ -89,7 +89,7 @@
         for (int i = 0; i < 8; i++) {
             s.take("a" + i, "small");
             s.pass(250 * MS);
-            s.end("a" + i, (int) s.count("send a" + i + " ") - 1, "e1", End.CONNECT_FAILED, MS);
+            s.end("a" + i, (int) s.count("send a" + i + " ") - 1, "e1", AttemptStatus.CONNECT_FAILED, MS);
         }
         s.actions.clear();
         s.pass(2 * SECOND);
--- a/src/test/java/cairnline/control/RulesTest.java
+++ b/src/test/java/cairnline/control/RulesTest.java
@@ -7,7 +7,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cairnline.control.ControlApi.Effect;
-import cairnline.control.ControlApi.End;
+import cairnline.control.ControlApi.AttemptStatus;
 import cairnline.control.ControlApi.Engine;
 import cairnline.control.ControlApi.EngineStatus;
 import cairnline.control.ControlApi.Request;
@@ -37,7 +37,7 @@
         s.take("a", "small");
         s.pass(3 * SECOND);
         s.fresh();
-        s.end("a", 0, "e1", End.TIMEOUT, 3 * SECOND);
+        s.end("a", 0, "e1", AttemptStatus.TIMEOUT, 3 * SECOND);
         s.control.abandoned(s.now, "a");
         assertEquals(List.of("fail a"), s.fresh());
     }
@@ -49,7 +49,7 @@
         s.take("a", "small");
         s.fresh();
         s.control.abandoned(s.now, "a");
-        s.end("a", 0, "e1", End.ERROR, MS);
+        s.end("a", 0, "e1", AttemptStatus.ERROR, MS);
         assertEquals(List.of(), s.fresh());
     }
 
@@ -59,7 +59,7 @@
         s.list("e1", "e2");
         s.take("a", "small");
         String first = s.engineOf("a");
-        s.end("a", 0, first, End.ERROR, MS);
+        s.end("a", 0, first, AttemptStatus.ERROR, MS);
         assertNotEquals(first, s.engineOf("a"));
         assertEquals(2, s.count("send a"));
     }
@@ -84,8 +84,8 @@
         Script s = new Script(site);
         s.list("e1", "e2", "e3");
         s.take("a", "small");
-        s.end("a", 0, s.engineOf("a"), End.ERROR, MS);
-        s.end("a", 1, s.engineOf("a"), End.ERROR, MS);
+        s.end("a", 0, s.engineOf("a"), AttemptStatus.ERROR, MS);
+        s.end("a", 1, s.engineOf("a"), AttemptStatus.ERROR, MS);
         assertEquals(2, s.count("send a"));
         assertEquals(1, s.count("refuse a"));
     }
@@ -97,14 +97,14 @@
         s.list("e1", "e2", "e3");
         for (String id : List.of("a", "b")) {
             s.take(id, "small");
-            s.end(id, 0, s.engineOf(id), End.FULL, MS);
+            s.end(id, 0, s.engineOf(id), AttemptStatus.FULL, MS);
         }
         assertEquals(2, s.count("send a"));
         assertEquals(1, s.count("send b"));
         assertEquals(1, s.count("refuse b"));
         s.pass(11 * SECOND);
         s.take("c", "small");
-        s.end("c", 0, s.engineOf("c"), End.FULL, MS);
+        s.end("c", 0, s.engineOf("c"), AttemptStatus.FULL, MS);
         assertEquals(2, s.count("send c"));
     }
 
@@ -114,7 +114,7 @@
         Script s = new Script(site);
         s.list("e1", "e2");
         s.take("a", "small");
-        s.end("a", 0, s.engineOf("a"), End.RESET, MS);
+        s.end("a", 0, s.engineOf("a"), AttemptStatus.RESET, MS);
         assertEquals(1, s.count("send a"));
         assertEquals(1, s.count("fail a"));
     }
@@ -125,7 +125,7 @@
         Script s = new Script(site);
         s.list("e1", "e2");
         s.take("a", "small");
-        s.end("a", 0, s.engineOf("a"), End.FULL, MS);
+        s.end("a", 0, s.engineOf("a"), AttemptStatus.FULL, MS);
         assertEquals(2, s.count("send a"));
     }
 
@@ -136,10 +136,10 @@
         Script s = new Script(site);
         s.list("e1", "e2");
         s.take("a", "small");
-        s.end("a", 0, s.engineOf("a"), End.ERROR, MS);
+        s.end("a", 0, s.engineOf("a"), AttemptStatus.ERROR, MS);
         assertEquals(2, s.count("send a"));
         s.pass(300 * MS);
-        s.end("a", 1, s.engineOf("a"), End.ERROR, MS);
+        s.end("a", 1, s.engineOf("a"), AttemptStatus.ERROR, MS);
         assertEquals(2, s.count("send a"));
         assertEquals(1, s.count("refuse a"), "all engines drop repeats, so a refusal is honest");
     }
@@ -152,7 +152,7 @@
         s.list("e1");
         s.take("a", "small");
         s.change(Script.engine("e1", EngineStatus.REMOVED, "plain", 0));
-        s.end("a", 0, "e1", End.RESET, MS);
+        s.end("a", 0, "e1", AttemptStatus.RESET, MS);
         assertEquals(List.of("send a e1", "fail a"), s.fresh());
     }
 
@@ -203,7 +203,7 @@
         assertEquals(1, s.count("send c"));
         s.control.abandoned(s.now, "a");
         assertEquals(0, s.count("send b"), "an attempt of the first is still out");
-        s.end("a", 0, s.engineOf("a"), End.TIMEOUT, MS);
+        s.end("a", 0, s.engineOf("a"), AttemptStatus.TIMEOUT, MS);
         s.pass(450 * MS);
         assertEquals(0, s.count("send b"), "the key rests");
         s.pass(100 * MS);
@@ -259,7 +259,7 @@
         s.list("e1", "e2");
         for (int i = 0; i < 40; i++) {
             s.take("w" + i, "small");
-            s.end("w" + i, 0, s.engineOf("w" + i), End.OK, 100 * MS);
+            s.end("w" + i, 0, s.engineOf("w" + i), AttemptStatus.OK, 100 * MS);
         }
         s.takeKeyed("a", 7);
         s.takeKeyed("b", 7);
@@ -272,7 +272,7 @@
     void anUnsafeRequestThatMayHaveRunEndsInAFailureHoweverItsAttemptEnded() {
         site.effect = Effect.UNSAFE;
         site.cancel = true;
-        for (End end : List.of(End.ERROR, End.TIMEOUT, End.RESET, End.CANCELLED)) {
+        for (AttemptStatus end : List.of(AttemptStatus.ERROR, AttemptStatus.TIMEOUT, AttemptStatus.RESET, AttemptStatus.CANCELLED)) {
             Script s = new Script(site);
             s.list("e1", "e2");
             s.take("a", "small");
@@ -293,7 +293,7 @@
         s.take("b", "small");
         s.pass(10 * SECOND);
         s.take("c", "small");
-        s.end("c", 0, s.engineOf("c"), End.FULL, MS);
+        s.end("c", 0, s.engineOf("c"), AttemptStatus.FULL, MS);
         assertEquals(1, s.count("send c"), "the first two lie on the window's edge and may not be counted");
     }
 
--- a/src/test/java/cairnline/control/Script.java
+++ b/src/test/java/cairnline/control/Script.java
@@ -2,7 +2,7 @@
 
 import cairnline.control.ControlApi.Actions;
 import cairnline.control.ControlApi.Effect;
-import cairnline.control.ControlApi.End;
+import cairnline.control.ControlApi.AttemptStatus;
 import cairnline.control.ControlApi.Engine;
 import cairnline.control.ControlApi.Kind;
 import cairnline.control.ControlApi.EngineStatus;
@@ -149,8 +149,8 @@
         control.request(now, new Request(id, "small", "one", true, key, 3 * SECOND, 0, 0, -1, false));
     }
 
-    void end(String id, int attempt, String engine, End end, long rtt) {
-        control.outcome(now, new Outcome(id, attempt, engine, end, rtt, end == End.OK, 0, 0, Load.NONE));
+    void end(String id, int attempt, String engine, AttemptStatus end, long rtt) {
+        control.outcome(now, new Outcome(id, attempt, engine, end, rtt, end == AttemptStatus.OK, 0, 0, Load.NONE));
     }
 
     void progress(String id, int attempt, String engine, double done) {
