--- a/src/main/java/cairnline/control/Control.java
+++ b/src/main/java/cairnline/control/Control.java
@@ -686,9 +686,9 @@
         }
         long since = now - a.heardAt;
         a.heardAt = now;
-        if (n.kind() == NoteKind.SPILL) {
+        if (n.kind() == StatusKind.SPILL) {
             spill(a, n.amount());
-        } else if (n.kind() != NoteKind.PROGRESS) {
+        } else if (n.kind() != StatusKind.PROGRESS) {
             stand(a, n.kind(), since);
         } else {
             a.stands &= n.amount() <= a.done;
@@ -727,12 +727,12 @@
      * A query that stands behind a load is sent elsewhere, once: only there are its tables held. What may not
      * be repeated stays; the time it stood is no slowness. Could harm where all engines load the same tables.
      */
-    private void stand(Attempt a, NoteKind kind, long since) {
+    private void stand(Attempt a, StatusKind kind, long since) {
         Query q = a.query;
         if (q.kin.type.effect() != Effect.SAFE) {
             a.stands = true;
             a.stood += since;
-        } else if (kind == NoteKind.WAITS_LOAD && !q.moved && mayGiveUp(q)) {
+        } else if (kind == StatusKind.WAITS_LOAD && !q.moved && mayGiveUp(q)) {
             q.moved = true;
             out.cancel(q.id, a.number);
         }
--- a/src/main/java/cairnline/control/ControlApi.java
+++ b/src/main/java/cairnline/control/ControlApi.java
@@ -127,10 +127,10 @@
                    Load load) { }
 
     /** What a note tells. */
-    enum NoteKind { PROGRESS, SPILL, WAITS_MEMORY, WAITS_LOAD }
+    enum StatusKind { PROGRESS, SPILL, WAITS_MEMORY, WAITS_LOAD }
 
     /** A note; {@code amount} is the share done, or the megabytes missing. */
-    record Note(String id, int attempt, String engine, NoteKind kind, double amount) { }
+    record Note(String id, int attempt, String engine, StatusKind kind, double amount) { }
 
     /** What a repeat of a request may do. */
     enum Effect { SAFE, KEYED, UNSAFE }
--- a/src/main/java/cairnline/routing/Core.java
+++ b/src/main/java/cairnline/routing/Core.java
@@ -6,7 +6,7 @@
 import cairnline.control.ControlApi.AttemptStatus;
 import cairnline.control.ControlApi.Load;
 import cairnline.control.ControlApi.Note;
-import cairnline.control.ControlApi.NoteKind;
+import cairnline.control.ControlApi.StatusKind;
 import cairnline.control.ControlApi.Outcome;
 import cairnline.control.ControlApi.Settings;
 import cairnline.membership.Evidence;
@@ -138,7 +138,7 @@
     }
 
     /** An attempt that is not over, with word of it. */
-    public void noted(Attempt attempt, NoteKind kind, double amount) {
+    public void noted(Attempt attempt, StatusKind kind, double amount) {
         actor.put(() -> {
             Out it = out.get(attempt);
             if (it != null) {
--- a/src/main/java/cairnline/simhost/Host.java
+++ b/src/main/java/cairnline/simhost/Host.java
@@ -7,7 +7,7 @@
 import cairnline.control.ControlApi.EngineStatus;
 import cairnline.control.ControlApi.Load;
 import cairnline.control.ControlApi.Note;
-import cairnline.control.ControlApi.NoteKind;
+import cairnline.control.ControlApi.StatusKind;
 import cairnline.control.ControlApi.Outcome;
 import cairnline.control.ControlApi.Request;
 
@@ -211,10 +211,10 @@
 
     private void note(ControlApi control, String line, long now) {
         double amount = in.number("amount", 0);
-        NoteKind kind = switch ((int) in.whole("kind")) {
-            case 1 -> NoteKind.PROGRESS;
-            case 2 -> NoteKind.SPILL;
-            case 3 -> amount >= 2 ? NoteKind.WAITS_LOAD : NoteKind.WAITS_MEMORY;
+        StatusKind kind = switch ((int) in.whole("kind")) {
+            case 1 -> StatusKind.PROGRESS;
+            case 2 -> StatusKind.SPILL;
+            case 3 -> amount >= 2 ? StatusKind.WAITS_LOAD : StatusKind.WAITS_MEMORY;
             default -> null;
         };
         if (kind != null) {
--- a/src/main/java/cairnline/transport/RespConnection.java
+++ b/src/main/java/cairnline/transport/RespConnection.java
@@ -1,7 +1,7 @@
 package cairnline.transport;
 
 import cairnline.control.ControlApi.AttemptStatus;
-import cairnline.control.ControlApi.NoteKind;
+import cairnline.control.ControlApi.StatusKind;
 import cairnline.membership.Evidence;
 import cairnline.protocol.EngineMessage;
 import cairnline.protocol.PagedResult;
@@ -360,10 +360,10 @@
 
     private void note(Attempt attempt, EngineMessage message) {
         switch (message.note()) {
-            case "advance" -> core.noted(attempt, NoteKind.PROGRESS, message.amount());
-            case "disk" -> core.noted(attempt, NoteKind.SPILL, message.amount());
+            case "advance" -> core.noted(attempt, StatusKind.PROGRESS, message.amount());
+            case "disk" -> core.noted(attempt, StatusKind.SPILL, message.amount());
             case "stall" -> core.noted(attempt,
-                    message.amount() >= 2 ? NoteKind.WAITS_LOAD : NoteKind.WAITS_MEMORY, message.amount());
+                    message.amount() >= 2 ? StatusKind.WAITS_LOAD : StatusKind.WAITS_MEMORY, message.amount());
             default -> { }
         }
     }
--- a/src/test/java/cairnline/control/FleetTest.java
+++ b/src/test/java/cairnline/control/FleetTest.java
@@ -11,7 +11,7 @@
 import cairnline.control.ControlApi.Engine;
 import cairnline.control.ControlApi.EngineStatus;
 import cairnline.control.ControlApi.Load;
-import cairnline.control.ControlApi.NoteKind;
+import cairnline.control.ControlApi.StatusKind;
 import cairnline.control.ControlApi.Outcome;
 import cairnline.control.Script.Site;
 import java.util.ArrayList;
@@ -308,7 +308,7 @@
         s.list("e1", "e2");
         for (int i = 0; i < 10; i++) {
             s.takeWithMemory("a" + i, "big", 400);
-            s.note("a" + i, 0, NoteKind.SPILL, 100);
+            s.note("a" + i, 0, StatusKind.SPILL, 100);
             s.end("a" + i, 0, s.engineOf("a" + i), AttemptStatus.OK, 300 * MS);
         }
         s.takeWithMemory("x", "big", 400);
@@ -382,7 +382,7 @@
         Script s = new Script(site);
         s.list("e1");
         s.take("a", "small");
-        s.note("a", 0, NoteKind.WAITS_LOAD, 2);
+        s.note("a", 0, StatusKind.WAITS_LOAD, 2);
         for (int i = 0; i < 4; i++) {
             s.pass(500 * MS);
             s.progress("a", 0, "e1", 0);
@@ -399,11 +399,11 @@
         s.list("e1", "e2");
         s.take("a", "big");
         String held = s.engineOf("a");
-        s.note("a", 0, NoteKind.WAITS_LOAD, 2);
+        s.note("a", 0, StatusKind.WAITS_LOAD, 2);
         assertEquals(1, s.count("cancel a 0"));
         s.end("a", 0, held, AttemptStatus.CANCELLED, 5 * MS);
         assertNotEquals(held, s.engineOf("a"));
-        s.note("a", 1, NoteKind.WAITS_LOAD, 2);
+        s.note("a", 1, StatusKind.WAITS_LOAD, 2);
         assertEquals(0, s.count("cancel a 1"));
     }
 
--- a/src/test/java/cairnline/control/Script.java
+++ b/src/test/java/cairnline/control/Script.java
@@ -8,7 +8,7 @@
 import cairnline.control.ControlApi.EngineStatus;
 import cairnline.control.ControlApi.Load;
 import cairnline.control.ControlApi.Note;
-import cairnline.control.ControlApi.NoteKind;
+import cairnline.control.ControlApi.StatusKind;
 import cairnline.control.ControlApi.Outcome;
 import cairnline.control.ControlApi.Permissions;
 import cairnline.control.ControlApi.Request;
@@ -137,7 +137,7 @@
         control.request(now, new Request(id, type, "one", false, 0, 15 * SECOND, 0, memory, -1, false));
     }
 
-    void note(String id, int attempt, NoteKind kind, double amount) {
+    void note(String id, int attempt, StatusKind kind, double amount) {
         control.note(now, new Note(id, attempt, engineOf(id), kind, amount));
     }
 
@@ -154,7 +154,7 @@
     }
 
     void progress(String id, int attempt, String engine, double done) {
-        control.note(now, new Note(id, attempt, engine, NoteKind.PROGRESS, done));
+        control.note(now, new Note(id, attempt, engine, StatusKind.PROGRESS, done));
     }
 
     /** Passes time, with the timers that come due. */
