--- a/src/main/java/cairnline/control/Control.java
+++ b/src/main/java/cairnline/control/Control.java
@@ -678,7 +678,7 @@
     }
 
     @Override
-    public void note(long time, Note n) {
+    public void note(long time, StatusUpdate n) {
         tick(time);
         Attempt a = attempt(n.id(), n.attempt());
         if (a == null) {
--- a/src/main/java/cairnline/control/ControlApi.java
+++ b/src/main/java/cairnline/control/ControlApi.java
@@ -31,7 +31,7 @@
     void outcome(long now, Outcome outcome);
 
     /** Word on an attempt that is still out. */
-    void note(long now, Note note);
+    void note(long now, StatusUpdate note);
 
     /** The client has left; nothing more is owed. */
     void abandoned(long now, String id);
@@ -130,7 +130,7 @@
     enum StatusKind { PROGRESS, SPILL, WAITS_MEMORY, WAITS_LOAD }
 
     /** A note; {@code amount} is the share done, or the megabytes missing. */
-    record Note(String id, int attempt, String engine, StatusKind kind, double amount) { }
+    record StatusUpdate(String id, int attempt, String engine, StatusKind kind, double amount) { }
 
     /** What a repeat of a request may do. */
     enum Effect { SAFE, KEYED, UNSAFE }
--- a/src/main/java/cairnline/routing/Core.java
+++ b/src/main/java/cairnline/routing/Core.java
@@ -5,7 +5,7 @@
 import cairnline.control.ControlApi.Actions;
 import cairnline.control.ControlApi.AttemptStatus;
 import cairnline.control.ControlApi.Load;
-import cairnline.control.ControlApi.Note;
+import cairnline.control.ControlApi.StatusUpdate;
 import cairnline.control.ControlApi.StatusKind;
 import cairnline.control.ControlApi.Outcome;
 import cairnline.control.ControlApi.Settings;
@@ -143,7 +143,7 @@
             Out it = out.get(attempt);
             if (it != null) {
                 tell(() -> control.note(moduleNow(),
-                        new Note(it.owner.id, attempt.number(), attempt.engine(), kind, amount)));
+                        new StatusUpdate(it.owner.id, attempt.number(), attempt.engine(), kind, amount)));
             }
         });
     }
--- a/src/main/java/cairnline/simhost/Host.java
+++ b/src/main/java/cairnline/simhost/Host.java
@@ -6,7 +6,7 @@
 import cairnline.control.ControlApi.Engine;
 import cairnline.control.ControlApi.EngineStatus;
 import cairnline.control.ControlApi.Load;
-import cairnline.control.ControlApi.Note;
+import cairnline.control.ControlApi.StatusUpdate;
 import cairnline.control.ControlApi.StatusKind;
 import cairnline.control.ControlApi.Outcome;
 import cairnline.control.ControlApi.Request;
@@ -218,7 +218,7 @@
             default -> null;
         };
         if (kind != null) {
-            control.note(now, new Note(in.text("msgId"), (int) in.whole("attempt", 0), in.text("engine"), kind, amount));
+            control.note(now, new StatusUpdate(in.text("msgId"), (int) in.whole("attempt", 0), in.text("engine"), kind, amount));
         }
     }
 
--- a/src/test/java/cairnline/control/Script.java
+++ b/src/test/java/cairnline/control/Script.java
@@ -7,7 +7,7 @@
 import cairnline.control.ControlApi.Kind;
 import cairnline.control.ControlApi.EngineStatus;
 import cairnline.control.ControlApi.Load;
-import cairnline.control.ControlApi.Note;
+import cairnline.control.ControlApi.StatusUpdate;
 import cairnline.control.ControlApi.StatusKind;
 import cairnline.control.ControlApi.Outcome;
 import cairnline.control.ControlApi.Permissions;
@@ -138,7 +138,7 @@
     }
 
     void note(String id, int attempt, StatusKind kind, double amount) {
-        control.note(now, new Note(id, attempt, engineOf(id), kind, amount));
+        control.note(now, new StatusUpdate(id, attempt, engineOf(id), kind, amount));
     }
 
     void takeOf(String tenant, String id, String type) {
@@ -154,7 +154,7 @@
     }
 
     void progress(String id, int attempt, String engine, double done) {
-        control.note(now, new Note(id, attempt, engine, StatusKind.PROGRESS, done));
+        control.note(now, new StatusUpdate(id, attempt, engine, StatusKind.PROGRESS, done));
     }
 
     /** Passes time, with the timers that come due. */
