--- a/src/main/java/cairnline/control/ControlApi.java
+++ b/src/main/java/cairnline/control/ControlApi.java
@@ -133,7 +133,7 @@
     record StatusUpdate(String id, int attempt, String engine, StatusKind kind, double amount) { }
 
     /** What a repeat of a request may do. */
-    enum Effect { SAFE, KEYED, UNSAFE }
+    enum RetrySafety { SAFE, KEYED, UNSAFE }
 
     /** Which engines drop the repeats of a keyed request. */
     enum Scope { ALL, ZONE, CELL }
@@ -142,7 +142,7 @@
      * A class of requests. An answer within {@code aim + aimStretch * work / threads} earns {@code worth}, a later one
      * {@code lateWorth * worth}. {@code zones} and {@code kinds} bind the class where not empty.
      */
-    record Type(String name, long aim, double aimStretch, long deadline, double worth, double lateWorth, Effect effect,
+    record Type(String name, long aim, double aimStretch, long deadline, double worth, double lateWorth, RetrySafety effect,
                 Scope scope, long window, boolean serial, int threads, boolean holdsTables, boolean waitsForHolder,
                 List<String> zones, List<String> kinds) { }
 
--- a/src/main/java/cairnline/program/Configuration.java
+++ b/src/main/java/cairnline/program/Configuration.java
@@ -1,6 +1,6 @@
 package cairnline.program;
 
-import cairnline.control.ControlApi.Effect;
+import cairnline.control.ControlApi.RetrySafety;
 import cairnline.control.ControlApi.Rules;
 import cairnline.control.ControlApi.Settings;
 import cairnline.protocol.FeedEvent;
@@ -128,7 +128,7 @@
     Map<String, ClassRules> classes() {
         Map<String, ClassRules> classes = new HashMap<>();
         settings.types().forEach(type ->
-                classes.put(type.name(), new ClassRules(type.effect() == Effect.KEYED, type.serial())));
+                classes.put(type.name(), new ClassRules(type.effect() == RetrySafety.KEYED, type.serial())));
         return classes;
     }
 
--- a/src/main/java/cairnline/program/ODataConfiguration.java
+++ b/src/main/java/cairnline/program/ODataConfiguration.java
@@ -1,6 +1,6 @@
 package cairnline.program;
 
-import cairnline.control.ControlApi.Effect;
+import cairnline.control.ControlApi.RetrySafety;
 import cairnline.control.ControlApi.EngineStatus;
 import cairnline.control.ControlApi.Settings;
 import cairnline.control.ControlApi.Type;
@@ -96,7 +96,7 @@
         String name = text(set, at + "." + member, member);
         Type type = settings.types().stream().filter(t -> t.name().equals(name)).findFirst().orElseThrow(() ->
                 new ConfigurationException(at + "." + member, "is none of the settings' classes: " + name));
-        if (type.effect() != (write ? Effect.KEYED : Effect.SAFE)) {
+        if (type.effect() != (write ? RetrySafety.KEYED : RetrySafety.SAFE)) {
             throw new ConfigurationException(at + "." + member,
                     write ? "is no keyed class: " + name : "is no class that is safe to repeat: " + name);
         }
--- a/src/main/java/cairnline/simhost/SettingsReader.java
+++ b/src/main/java/cairnline/simhost/SettingsReader.java
@@ -1,6 +1,6 @@
 package cairnline.simhost;
 
-import cairnline.control.ControlApi.Effect;
+import cairnline.control.ControlApi.RetrySafety;
 import cairnline.control.ControlApi.Kind;
 import cairnline.control.ControlApi.Permissions;
 import cairnline.control.ControlApi.Rules;
@@ -48,11 +48,11 @@
         return types;
     }
 
-    private Effect effect(String prefix) {
+    private RetrySafety effect(String prefix) {
         return switch (in.text(prefix + "semantics", "pure")) {
-            case "pure" -> Effect.SAFE;
-            case "token" -> Effect.KEYED;
-            case "side_effect" -> Effect.UNSAFE;
+            case "pure" -> RetrySafety.SAFE;
+            case "token" -> RetrySafety.KEYED;
+            case "side_effect" -> RetrySafety.UNSAFE;
             default -> throw new WireException("unknown semantics " + in.text(prefix + "semantics", ""), "HELLO");
         };
     }
--- a/src/test/java/cairnline/control/FleetTest.java
+++ b/src/test/java/cairnline/control/FleetTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cairnline.control.ControlApi.Effect;
+import cairnline.control.ControlApi.RetrySafety;
 import cairnline.control.ControlApi.AttemptStatus;
 import cairnline.control.ControlApi.Engine;
 import cairnline.control.ControlApi.EngineStatus;
@@ -242,7 +242,7 @@
     @Test
     void aRepeatedKeyedLoadNeverLeavesItsWindow() {
         site.cancel = true;
-        site.effect = Effect.KEYED;
+        site.effect = RetrySafety.KEYED;
         site.window = 2 * SECOND;
         site.attempts = 6;
         Script s = new Script(site);
@@ -377,7 +377,7 @@
     @Test
     void standingBehindALoadIsNoSlownessOfWhatMayNotBeRepeated() {
         site.cancel = true;
-        site.effect = Effect.UNSAFE;
+        site.effect = RetrySafety.UNSAFE;
         site.notePeriod = 500 * MS;
         Script s = new Script(site);
         s.list("e1");
--- a/src/test/java/cairnline/control/RulesTest.java
+++ b/src/test/java/cairnline/control/RulesTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cairnline.control.ControlApi.Effect;
+import cairnline.control.ControlApi.RetrySafety;
 import cairnline.control.ControlApi.AttemptStatus;
 import cairnline.control.ControlApi.Engine;
 import cairnline.control.ControlApi.EngineStatus;
@@ -110,7 +110,7 @@
 
     @Test
     void anUnsafeRequestThatMayHaveRunIsFailedAndNotRepeated() {
-        site.effect = Effect.UNSAFE;
+        site.effect = RetrySafety.UNSAFE;
         Script s = new Script(site);
         s.list("e1", "e2");
         s.take("a", "small");
@@ -121,7 +121,7 @@
 
     @Test
     void anUnsafeRequestThatNeverRanIsSentAgain() {
-        site.effect = Effect.UNSAFE;
+        site.effect = RetrySafety.UNSAFE;
         Script s = new Script(site);
         s.list("e1", "e2");
         s.take("a", "small");
@@ -131,7 +131,7 @@
 
     @Test
     void aKeyedRequestIsRepeatedOnlyInsideItsWindow() {
-        site.effect = Effect.KEYED;
+        site.effect = RetrySafety.KEYED;
         site.window = SECOND / 2;
         Script s = new Script(site);
         s.list("e1", "e2");
@@ -146,7 +146,7 @@
 
     @Test
     void aKeyedRequestOfOneCellIsNeverRefusedOnceItMayHaveRun() {
-        site.effect = Effect.KEYED;
+        site.effect = RetrySafety.KEYED;
         site.scope = Scope.CELL;
         Script s = new Script(site);
         s.list("e1");
@@ -193,7 +193,7 @@
     @Test
     void requestsOfOneKeyRunInTurnAndRestAfterADoubtfulEnd() {
         site.serial = true;
-        site.effect = Effect.KEYED;
+        site.effect = RetrySafety.KEYED;
         Script s = new Script(site);
         s.list("e1", "e2");
         s.takeKeyed("a", 7);
@@ -213,7 +213,7 @@
     @Test
     void aRefusedHeadLetsTheNextOfItsKeyGo() {
         site.serial = true;
-        site.effect = Effect.KEYED;
+        site.effect = RetrySafety.KEYED;
         Script s = new Script(site);
         s.list();
         s.takeKeyed("a", 7);
@@ -254,7 +254,7 @@
     @Test
     void aHopelessRequestBehindItsKeyIsAnsweredAtOnce() {
         site.serial = true;
-        site.effect = Effect.UNSAFE;
+        site.effect = RetrySafety.UNSAFE;
         Script s = new Script(site);
         s.list("e1", "e2");
         for (int i = 0; i < 40; i++) {
@@ -270,7 +270,7 @@
 
     @Test
     void anUnsafeRequestThatMayHaveRunEndsInAFailureHoweverItsAttemptEnded() {
-        site.effect = Effect.UNSAFE;
+        site.effect = RetrySafety.UNSAFE;
         site.cancel = true;
         for (AttemptStatus end : List.of(AttemptStatus.ERROR, AttemptStatus.TIMEOUT, AttemptStatus.RESET, AttemptStatus.CANCELLED)) {
             Script s = new Script(site);
@@ -301,7 +301,7 @@
     @Test
     void aStalledFrontsBurstKeepsDrainColdAndKeyRules() {
         site.serial = true;
-        site.effect = Effect.UNSAFE;
+        site.effect = RetrySafety.UNSAFE;
         site.fronts = 2;
         Script s = new Script(site);
         s.list("e1", "e2");
--- a/src/test/java/cairnline/control/Script.java
+++ b/src/test/java/cairnline/control/Script.java
@@ -1,7 +1,7 @@
 package cairnline.control;
 
 import cairnline.control.ControlApi.Actions;
-import cairnline.control.ControlApi.Effect;
+import cairnline.control.ControlApi.RetrySafety;
 import cairnline.control.ControlApi.AttemptStatus;
 import cairnline.control.ControlApi.Engine;
 import cairnline.control.ControlApi.Kind;
@@ -36,7 +36,7 @@
         boolean cancel;
         boolean copies;
         boolean retryAfter;
-        Effect effect = Effect.SAFE;
+        RetrySafety effect = RetrySafety.SAFE;
         Scope scope = Scope.ALL;
         long window = 20 * SECOND;
         boolean serial;
@@ -55,7 +55,7 @@
         Settings settings() {
             Type small = new Type("small", smallAim, 0, 3 * SECOND, 1, 0, effect, scope, window, serial, 1, false, smallWaits,
                     List.of(), kinds);
-            Type big = new Type("big", 3 * SECOND, 2, 15 * SECOND, 10, 0.4, Effect.SAFE, Scope.ALL, 0, false, 4, bigHolds,
+            Type big = new Type("big", 3 * SECOND, 2, 15 * SECOND, 10, 0.4, RetrySafety.SAFE, Scope.ALL, 0, false, 4, bigHolds,
                     false, List.of(), List.of());
             Map<String, Kind> machines = new LinkedHashMap<>();
             machines.put("plain", new Kind(8, 16_000));
