--- a/src/main/java/cairnline/control/Control.java
+++ b/src/main/java/cairnline/control/Control.java
@@ -205,7 +205,7 @@
             return;
         }
         boolean harmless = q.firstDoubt == null || q.kin.type.effect() == RetrySafety.SAFE
-                || q.kin.type.effect() == RetrySafety.KEYED && q.kin.type.scope() == Scope.ALL;
+                || q.kin.type.effect() == RetrySafety.KEYED && q.kin.type.scope() == DeduplicationScope.ALL;
         if (refuse && harmless) {
             Permissions may = settings.permissions();
             out.refuse(q.id, may.retryAfter() ? Math.min(may.maxRetryAfter(), (long) q.kin.usualDelay()) : 0);
--- a/src/main/java/cairnline/control/ControlApi.java
+++ b/src/main/java/cairnline/control/ControlApi.java
@@ -136,14 +136,14 @@
     enum RetrySafety { SAFE, KEYED, UNSAFE }
 
     /** Which engines drop the repeats of a keyed request. */
-    enum Scope { ALL, ZONE, CELL }
+    enum DeduplicationScope { ALL, ZONE, CELL }
 
     /**
      * A class of requests. An answer within {@code aim + aimStretch * work / threads} earns {@code worth}, a later one
      * {@code lateWorth * worth}. {@code zones} and {@code kinds} bind the class where not empty.
      */
     record Type(String name, long aim, double aimStretch, long deadline, double worth, double lateWorth, RetrySafety effect,
-                Scope scope, long window, boolean serial, int threads, boolean holdsTables, boolean waitsForHolder,
+                DeduplicationScope scope, long window, boolean serial, int threads, boolean holdsTables, boolean waitsForHolder,
                 List<String> zones, List<String> kinds) { }
 
     /** A tenant's share, in requests a second over all fronts. */
--- a/src/main/java/cairnline/control/EngineState.java
+++ b/src/main/java/cairnline/control/EngineState.java
@@ -4,7 +4,7 @@
 import cairnline.control.ControlApi.Kind;
 import cairnline.control.ControlApi.EngineStatus;
 import cairnline.control.ControlApi.Rules;
-import cairnline.control.ControlApi.Scope;
+import cairnline.control.ControlApi.DeduplicationScope;
 import cairnline.control.ControlApi.Type;
 
 import java.util.HashMap;
@@ -43,7 +43,7 @@
         this.cores = machine == null ? 1 : machine.cores();
     }
 
-    final boolean sharesKeys(EngineState other, Scope scope) {
+    final boolean sharesKeys(EngineState other, DeduplicationScope scope) {
         return switch (scope) {
             case ALL -> true;
             case ZONE -> zone.equals(other.zone);
--- a/src/main/java/cairnline/simhost/SettingsReader.java
+++ b/src/main/java/cairnline/simhost/SettingsReader.java
@@ -4,7 +4,7 @@
 import cairnline.control.ControlApi.Kind;
 import cairnline.control.ControlApi.Permissions;
 import cairnline.control.ControlApi.Rules;
-import cairnline.control.ControlApi.Scope;
+import cairnline.control.ControlApi.DeduplicationScope;
 import cairnline.control.ControlApi.Settings;
 import cairnline.control.ControlApi.Tenant;
 import cairnline.control.ControlApi.Type;
@@ -57,11 +57,11 @@
         };
     }
 
-    private Scope scope(String prefix) {
+    private DeduplicationScope scope(String prefix) {
         return switch (in.text(prefix + "keyScope", "cell")) {
-            case "all" -> Scope.ALL;
-            case "zone" -> Scope.ZONE;
-            case "cell" -> Scope.CELL;
+            case "all" -> DeduplicationScope.ALL;
+            case "zone" -> DeduplicationScope.ZONE;
+            case "cell" -> DeduplicationScope.CELL;
             default -> throw new WireException("unknown keyScope " + in.text(prefix + "keyScope", ""), "HELLO");
         };
     }
--- a/src/test/java/cairnline/control/RulesTest.java
+++ b/src/test/java/cairnline/control/RulesTest.java
@@ -11,7 +11,7 @@
 import cairnline.control.ControlApi.Engine;
 import cairnline.control.ControlApi.EngineStatus;
 import cairnline.control.ControlApi.Request;
-import cairnline.control.ControlApi.Scope;
+import cairnline.control.ControlApi.DeduplicationScope;
 import cairnline.control.Script.Site;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -147,7 +147,7 @@
     @Test
     void aKeyedRequestOfOneCellIsNeverRefusedOnceItMayHaveRun() {
         site.effect = RetrySafety.KEYED;
-        site.scope = Scope.CELL;
+        site.scope = DeduplicationScope.CELL;
         Script s = new Script(site);
         s.list("e1");
         s.take("a", "small");
--- a/src/test/java/cairnline/control/Script.java
+++ b/src/test/java/cairnline/control/Script.java
@@ -13,7 +13,7 @@
 import cairnline.control.ControlApi.Permissions;
 import cairnline.control.ControlApi.Request;
 import cairnline.control.ControlApi.Rules;
-import cairnline.control.ControlApi.Scope;
+import cairnline.control.ControlApi.DeduplicationScope;
 import cairnline.control.ControlApi.Settings;
 import cairnline.control.ControlApi.Tenant;
 import cairnline.control.ControlApi.Type;
@@ -37,7 +37,7 @@
         boolean copies;
         boolean retryAfter;
         RetrySafety effect = RetrySafety.SAFE;
-        Scope scope = Scope.ALL;
+        DeduplicationScope scope = DeduplicationScope.ALL;
         long window = 20 * SECOND;
         boolean serial;
         List<String> kinds = List.of();
@@ -55,7 +55,7 @@
         Settings settings() {
             Type small = new Type("small", smallAim, 0, 3 * SECOND, 1, 0, effect, scope, window, serial, 1, false, smallWaits,
                     List.of(), kinds);
-            Type big = new Type("big", 3 * SECOND, 2, 15 * SECOND, 10, 0.4, RetrySafety.SAFE, Scope.ALL, 0, false, 4, bigHolds,
+            Type big = new Type("big", 3 * SECOND, 2, 15 * SECOND, 10, 0.4, RetrySafety.SAFE, DeduplicationScope.ALL, 0, false, 4, bigHolds,
                     false, List.of(), List.of());
             Map<String, Kind> machines = new LinkedHashMap<>();
             machines.put("plain", new Kind(8, 16_000));
