--- a/src/main/java/cairnline/control/Control.java
+++ b/src/main/java/cairnline/control/Control.java
@@ -147,7 +147,7 @@
 
     /** Both edges of the window are taken against this front, wherever they are counted. */
     private boolean rationLeft() {
-        Rules rules = settings.rules();
+        SafetyRules rules = settings.rules();
         long since = now - rules.lookBack();
         return rules.spareAttempts() < 0 || extra.since(since - EDGE) + 1
                 <= rules.spareAttempts() + rules.extraPerRequest() * taken.since(since + EDGE);
@@ -174,7 +174,7 @@
      * A front that has just started does not know what it sent before, and waits one window.
      */
     private boolean coldRoom(EngineEstimate h, double weight) {
-        Rules rules = settings.rules();
+        SafetyRules rules = settings.rules();
         long age = now - h.coldSince;
         if (h.coldSince == 0 || age >= rules.warmWithin()) {
             return true;
--- a/src/main/java/cairnline/control/ControlApi.java
+++ b/src/main/java/cairnline/control/ControlApi.java
@@ -160,7 +160,7 @@
      * The figures of the rules. {@code spareAttempts} below 0 means that further attempts are not rationed;
      * {@code keyRest} 0 that a key needs no rest.
      */
-    record Rules(long drainGrace, double coldFrom, long warmWithin, double tipMultiple, long overloadFor, long keyRest,
+    record SafetyRules(long drainGrace, double coldFrom, long warmWithin, double tipMultiple, long overloadFor, long keyRest,
                  double spareAttempts, double extraPerRequest, long lookBack) { }
 
     /**
@@ -172,7 +172,7 @@
      * probe for each request costs.
      */
     record Settings(int self, int fronts, String zone, List<Type> types, List<Tenant> tenants, Map<String, Kind> kinds,
-                    Permissions permissions, Rules rules, double overShareWorth, double grantCap, boolean follow,
+                    Permissions permissions, SafetyRules rules, double overShareWorth, double grantCap, boolean follow,
                     long notePeriod, boolean marksRepeats, double probePrice) {
         /** Rejects settings that contradict themselves. */
         public Settings {
--- a/src/main/java/cairnline/control/EngineState.java
+++ b/src/main/java/cairnline/control/EngineState.java
@@ -3,7 +3,7 @@
 import cairnline.control.ControlApi.Engine;
 import cairnline.control.ControlApi.Kind;
 import cairnline.control.ControlApi.EngineStatus;
-import cairnline.control.ControlApi.Rules;
+import cairnline.control.ControlApi.SafetyRules;
 import cairnline.control.ControlApi.DeduplicationScope;
 import cairnline.control.ControlApi.Type;
 
@@ -52,7 +52,7 @@
     }
 
     /** Part of its capacity that it has at least: a start that is not known may be as late as now. */
-    final double warmth(Rules rules, long now) {
+    final double warmth(SafetyRules rules, long now) {
         long age = now - coldSince;
         if (coldSince == 0 || age >= rules.warmWithin()) {
             return 1;
--- a/src/main/java/cairnline/program/Configuration.java
+++ b/src/main/java/cairnline/program/Configuration.java
@@ -1,7 +1,7 @@
 package cairnline.program;
 
 import cairnline.control.ControlApi.RetrySafety;
-import cairnline.control.ControlApi.Rules;
+import cairnline.control.ControlApi.SafetyRules;
 import cairnline.control.ControlApi.Settings;
 import cairnline.protocol.FeedEvent;
 import cairnline.protocol.Json;
@@ -206,11 +206,11 @@
      * attempt that is given up a little early still counts as out until its client's time is up.
      */
     private static Settings rested(Settings s) {
-        Rules r = s.rules();
+        SafetyRules r = s.rules();
         if (r.keyRest() == 0) {
             return s;
         }
-        Rules rules = new Rules(r.drainGrace(), r.coldFrom(), r.warmWithin(), r.tipMultiple(), r.overloadFor(),
+        SafetyRules rules = new SafetyRules(r.drainGrace(), r.coldFrom(), r.warmWithin(), r.tipMultiple(), r.overloadFor(),
                 r.keyRest() + REST_SLACK_NANOS, r.spareAttempts(), r.extraPerRequest(), r.lookBack());
         return new Settings(s.self(), s.fronts(), s.zone(), s.types(), s.tenants(), s.kinds(), s.permissions(), rules,
                 s.overShareWorth(), s.grantCap(), s.follow(), s.notePeriod(), s.marksRepeats(), s.probePrice());
--- a/src/main/java/cairnline/simhost/SettingsReader.java
+++ b/src/main/java/cairnline/simhost/SettingsReader.java
@@ -3,7 +3,7 @@
 import cairnline.control.ControlApi.RetrySafety;
 import cairnline.control.ControlApi.Kind;
 import cairnline.control.ControlApi.Permissions;
-import cairnline.control.ControlApi.Rules;
+import cairnline.control.ControlApi.SafetyRules;
 import cairnline.control.ControlApi.DeduplicationScope;
 import cairnline.control.ControlApi.Settings;
 import cairnline.control.ControlApi.Tenant;
@@ -94,10 +94,10 @@
                 in.flag("specifics.memoryHeeded", false), in.flag("specifics.takesPriority", false));
     }
 
-    private Rules rules() {
+    private SafetyRules rules() {
         String p = "safety.";
         boolean rationed = in.has(p + "spareAttempts") || in.has(p + "extraPerRequest");
-        return new Rules(in.whole(p + "drainGraceNs", 0), in.number(p + "coldFrom", 1), in.whole(p + "warmWithinNs", 0),
+        return new SafetyRules(in.whole(p + "drainGraceNs", 0), in.number(p + "coldFrom", 1), in.whole(p + "warmWithinNs", 0),
                 in.number(p + "tipMultiple", 1), in.whole(p + "overloadForNs", 0),
                 in.whole(p + "settleAfterDoubtNs", 0), rationed ? in.number(p + "spareAttempts", 0) : -1,
                 in.number(p + "extraPerRequest", 0), in.whole(p + "lookBackNs", 0));
--- a/src/test/java/cairnline/control/ManyFrontsTest.java
+++ b/src/test/java/cairnline/control/ManyFrontsTest.java
@@ -191,7 +191,7 @@
 
     @Test
     void warmthGrowsFromTheColdShareToAllAndNeverWhereTheStartIsUnknown() {
-        ControlApi.Rules rules = site.settings().rules();
+        ControlApi.SafetyRules rules = site.settings().rules();
         EngineState known = new EngineState(Script.engine("e", EngineStatus.READY, "large", 100 * SECOND), null);
         known.coldSince = 100 * SECOND;
         assertEquals(0.4, known.warmth(rules, 100 * SECOND), 1e-9);
--- a/src/test/java/cairnline/control/Script.java
+++ b/src/test/java/cairnline/control/Script.java
@@ -12,7 +12,7 @@
 import cairnline.control.ControlApi.Outcome;
 import cairnline.control.ControlApi.Permissions;
 import cairnline.control.ControlApi.Request;
-import cairnline.control.ControlApi.Rules;
+import cairnline.control.ControlApi.SafetyRules;
 import cairnline.control.ControlApi.DeduplicationScope;
 import cairnline.control.ControlApi.Settings;
 import cairnline.control.ControlApi.Tenant;
@@ -62,7 +62,7 @@
             machines.put("large", new Kind(16, 32_000));
             return new Settings(0, fronts, "north", List.of(small, big), List.of(new Tenant("one", 0.8, 100), new Tenant("two", 0.2, 20)), machines,
                     new Permissions(attempts, cancel, copies, probes, false, retryAfter, SECOND, true, true),
-                    new Rules(500 * MS, coldFrom, 10 * SECOND, 2, 2 * SECOND, 500 * MS, spare, perRequest, 10 * SECOND),
+                    new SafetyRules(500 * MS, coldFrom, 10 * SECOND, 2, 2 * SECOND, 500 * MS, spare, perRequest, 10 * SECOND),
                     0.2, 0.5, false, notePeriod, marksRepeats, probePrice);
         }
     }
