--- a/src/main/java/cairnline/control/Control.java
+++ b/src/main/java/cairnline/control/Control.java
@@ -114,7 +114,7 @@
         this.sample = Math.max(SAMPLE_LEAST, (int) Math.round((double) SAMPLE_ALL / settings.fronts()));
         this.probes = new ProbeBudget(settings.probePrice(), now, random.split());
         this.now = now;
-        for (Type type : settings.types()) {
+        for (RequestClassSettings type : settings.types()) {
             kinds.put(type.name(), new RequestClass(type, kinds.size()));
         }
         settings.tenants().forEach(tenant -> shares.put(tenant.name(), tenant.share()));
@@ -134,7 +134,7 @@
                 && keyTurn(q) && repeatAllowed(q, h) && coldRoom(h, coldWeight(q));
     }
 
-    private static boolean placed(Type type, EngineEstimate h) {
+    private static boolean placed(RequestClassSettings type, EngineEstimate h) {
         return (type.zones().isEmpty() || type.zones().contains(h.zone))
                 && (type.kinds().isEmpty() || type.kinds().contains(h.kind));
     }
@@ -288,7 +288,7 @@
 
     /** Loads go before others only where these wait for them: else they take the time of what earns more. */
     private int priority(RequestClass kin) {
-        boolean awaited = kin.type.holdsTables() && settings.types().stream().anyMatch(Type::waitsForHolder);
+        boolean awaited = kin.type.holdsTables() && settings.types().stream().anyMatch(RequestClassSettings::waitsForHolder);
         return awaited ? PRIORITY_HOLDER : light(kin) ? PRIORITY_LIGHT : PRIORITY_USUAL;
     }
 
@@ -383,7 +383,7 @@
     private double payoff(Query q, double prediction, boolean full) {
         double left = Math.min(q.aimAt, q.deadline) - now - prediction;
         double onTime = Gaussian.phi(left / Math.max(1, StrictMath.sqrt(q.kin.errorSquare)));
-        Type type = q.kin.type;
+        RequestClassSettings type = q.kin.type;
         double earned = onTime + (1 - onTime) * (type.lateWorth() - 1);
         double price = full ? PRICE * (q.overShare ? 1 : Math.max(0, q.size / DEAR_SIZE - 1)) : 0;
         return type.worth() * ((q.overShare ? settings.overShareWorth() : 1) * earned - price);
@@ -432,7 +432,7 @@
      * told. Could harm where queries cost far more, or where repeats can't be told from first tries.
      */
     private long timeOut(Query q) {
-        Type type = q.kin.type;
+        RequestClassSettings type = q.kin.type;
         boolean worthless = type.effect() == RetrySafety.SAFE && type.lateWorth() <= 0;
         long left = 2 * q.aimAt - q.askedAt - type.aim() - now;
         return settings.permissions().cancel() && settings.marksRepeats() && worthless
--- a/src/main/java/cairnline/control/ControlApi.java
+++ b/src/main/java/cairnline/control/ControlApi.java
@@ -142,7 +142,7 @@
      * A class of requests. An answer within {@code aim + aimStretch * work / threads} earns {@code worth}, a later one
      * {@code lateWorth * worth}. {@code zones} and {@code kinds} bind the class where not empty.
      */
-    record Type(String name, long aim, double aimStretch, long deadline, double worth, double lateWorth, RetrySafety effect,
+    record RequestClassSettings(String name, long aim, double aimStretch, long deadline, double worth, double lateWorth, RetrySafety effect,
                 DeduplicationScope scope, long window, boolean serial, int threads, boolean holdsTables, boolean waitsForHolder,
                 List<String> zones, List<String> kinds) { }
 
@@ -171,7 +171,7 @@
      * the worth asked for that a
      * probe for each request costs.
      */
-    record Settings(int self, int fronts, String zone, List<Type> types, List<Tenant> tenants, Map<String, Kind> kinds,
+    record Settings(int self, int fronts, String zone, List<RequestClassSettings> types, List<Tenant> tenants, Map<String, Kind> kinds,
                     Permissions permissions, SafetyRules rules, double overShareWorth, double grantCap, boolean follow,
                     long notePeriod, boolean marksRepeats, double probePrice) {
         /** Rejects settings that contradict themselves. */
@@ -182,7 +182,7 @@
             require(rules.coldFrom() >= 0 && rules.coldFrom() <= 1, "the cold share lies between 0 and 1");
             require(rules.spareAttempts() < 0 || rules.lookBack() > 0, "a ration of attempts needs a window");
             require(notePeriod >= 0, "the time between notes is not negative");
-            for (Type type : types) {
+            for (RequestClassSettings type : types) {
                 require(type.aim() > 0 && type.deadline() > 0 && type.threads() >= 1,
                         "class " + type.name() + " needs an aim, a deadline and a thread");
             }
--- a/src/main/java/cairnline/control/EngineState.java
+++ b/src/main/java/cairnline/control/EngineState.java
@@ -5,7 +5,7 @@
 import cairnline.control.ControlApi.EngineStatus;
 import cairnline.control.ControlApi.SafetyRules;
 import cairnline.control.ControlApi.DeduplicationScope;
-import cairnline.control.ControlApi.Type;
+import cairnline.control.ControlApi.RequestClassSettings;
 
 import java.util.HashMap;
 import java.util.Map;
@@ -62,7 +62,7 @@
     }
 
     /** Books one attempt of a class on (1) or off (-1). */
-    final void add(Type type, int tables, int count) {
+    final void add(RequestClassSettings type, int tables, int count) {
         attempts += count;
         threads += count * type.threads();
         if (type.holdsTables()) {
--- a/src/main/java/cairnline/control/RequestClass.java
+++ b/src/main/java/cairnline/control/RequestClass.java
@@ -2,7 +2,7 @@
 
 import cairnline.control.ControlApi.EngineStatus;
 import cairnline.control.ControlApi.Request;
-import cairnline.control.ControlApi.Type;
+import cairnline.control.ControlApi.RequestClassSettings;
 import java.util.TreeSet;
 
 /** What is learnt of a class of requests: load ratio, spread and usual work; and the queries held of it. */
@@ -21,7 +21,7 @@
     static final double SIZE_LEAST = 0.3;
     private static final double SIZE_MOST = 40;
 
-    final Type type;
+    final RequestClassSettings type;
     final int index;
     final TreeSet<Query> held = new TreeSet<>(Query.BY_DEADLINE);
     final double priorWork;
@@ -30,7 +30,7 @@
     long patience;
     double asked = 1, errorSquare, wait, rho = 1, usual, ratio = 1, meanMin, meanCrowd = 1;
 
-    RequestClass(Type type, int index) {
+    RequestClass(RequestClassSettings type, int index) {
         this.type = type;
         this.index = index;
         this.priorWork = WORK_PRIOR * type.aim() * type.threads();
--- a/src/main/java/cairnline/simhost/SettingsReader.java
+++ b/src/main/java/cairnline/simhost/SettingsReader.java
@@ -7,7 +7,7 @@
 import cairnline.control.ControlApi.DeduplicationScope;
 import cairnline.control.ControlApi.Settings;
 import cairnline.control.ControlApi.Tenant;
-import cairnline.control.ControlApi.Type;
+import cairnline.control.ControlApi.RequestClassSettings;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -32,13 +32,13 @@
                 in.number("deductions.probe", 0));
     }
 
-    private List<Type> types() {
-        List<Type> types = new ArrayList<>();
+    private List<RequestClassSettings> types() {
+        List<RequestClassSettings> types = new ArrayList<>();
         int count = (int) in.whole("profiles.count", 0);
         for (int i = 0; i < count; i++) {
             String p = "profiles." + i + ".";
             long deadline = in.whole(p + "deadlineNs");
-            types.add(new Type(in.text(p + "name"), in.whole(p + "aimNs", deadline), in.number(p + "aimStretch", 0),
+            types.add(new RequestClassSettings(in.text(p + "name"), in.whole(p + "aimNs", deadline), in.number(p + "aimStretch", 0),
                     deadline, in.number(p + "worth", 1), in.number(p + "lateWorth", 0), effect(p), scope(p),
                     in.whole(p + "windowNs", 0), in.flag(p + "serialByKey", false),
                     Math.max(1, (int) perClass("specifics.threadsByClass", i, 1)),
--- a/src/test/java/cairnline/control/Script.java
+++ b/src/test/java/cairnline/control/Script.java
@@ -16,7 +16,7 @@
 import cairnline.control.ControlApi.DeduplicationScope;
 import cairnline.control.ControlApi.Settings;
 import cairnline.control.ControlApi.Tenant;
-import cairnline.control.ControlApi.Type;
+import cairnline.control.ControlApi.RequestClassSettings;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -53,9 +53,9 @@
         long smallAim = 600 * MS;
 
         Settings settings() {
-            Type small = new Type("small", smallAim, 0, 3 * SECOND, 1, 0, effect, scope, window, serial, 1, false, smallWaits,
+            RequestClassSettings small = new RequestClassSettings("small", smallAim, 0, 3 * SECOND, 1, 0, effect, scope, window, serial, 1, false, smallWaits,
                     List.of(), kinds);
-            Type big = new Type("big", 3 * SECOND, 2, 15 * SECOND, 10, 0.4, RetrySafety.SAFE, DeduplicationScope.ALL, 0, false, 4, bigHolds,
+            RequestClassSettings big = new RequestClassSettings("big", 3 * SECOND, 2, 15 * SECOND, 10, 0.4, RetrySafety.SAFE, DeduplicationScope.ALL, 0, false, 4, bigHolds,
                     false, List.of(), List.of());
             Map<String, Kind> machines = new LinkedHashMap<>();
             machines.put("plain", new Kind(8, 16_000));
