--- a/src/main/java/cairnline/program/ODataConfiguration.java
+++ b/src/main/java/cairnline/program/ODataConfiguration.java
@@ -3,7 +3,7 @@
 import cairnline.control.ControlApi.RetrySafety;
 import cairnline.control.ControlApi.EngineStatus;
 import cairnline.control.ControlApi.Settings;
-import cairnline.control.ControlApi.Type;
+import cairnline.control.ControlApi.RequestClassSettings;
 import cairnline.protocol.Json;
 import cairnline.protocol.ODataModel;
 import cairnline.protocol.ODataModel.EntitySet;
@@ -94,7 +94,7 @@
             return null;
         }
         String name = text(set, at + "." + member, member);
-        Type type = settings.types().stream().filter(t -> t.name().equals(name)).findFirst().orElseThrow(() ->
+        RequestClassSettings type = settings.types().stream().filter(t -> t.name().equals(name)).findFirst().orElseThrow(() ->
                 new ConfigurationException(at + "." + member, "is none of the settings' classes: " + name));
         if (type.effect() != (write ? RetrySafety.KEYED : RetrySafety.SAFE)) {
             throw new ConfigurationException(at + "." + member,
