--- a/src/main/java/cairnline/control/ControlApi.java
+++ b/src/main/java/cairnline/control/ControlApi.java
@@ -150,7 +150,7 @@
     record Tenant(String name, double share, double quotaPerSecond) { }
 
     /** A kind of machine. */
-    record Kind(int cores, double memory) { }
+    record MachineType(int cores, double memory) { }
 
     /** What the site allows. */
     record Permissions(int attempts, boolean cancel, boolean secondCopies, boolean probes, boolean peers,
@@ -171,7 +171,7 @@
      * the worth asked for that a
      * probe for each request costs.
      */
-    record Settings(int self, int fronts, String zone, List<RequestClassSettings> types, List<Tenant> tenants, Map<String, Kind> kinds,
+    record Settings(int self, int fronts, String zone, List<RequestClassSettings> types, List<Tenant> tenants, Map<String, MachineType> kinds,
                     Permissions permissions, SafetyRules rules, double overShareWorth, double grantCap, boolean follow,
                     long notePeriod, boolean marksRepeats, double probePrice) {
         /** Rejects settings that contradict themselves. */
--- a/src/main/java/cairnline/control/EngineState.java
+++ b/src/main/java/cairnline/control/EngineState.java
@@ -1,7 +1,7 @@
 package cairnline.control;
 
 import cairnline.control.ControlApi.Engine;
-import cairnline.control.ControlApi.Kind;
+import cairnline.control.ControlApi.MachineType;
 import cairnline.control.ControlApi.EngineStatus;
 import cairnline.control.ControlApi.SafetyRules;
 import cairnline.control.ControlApi.DeduplicationScope;
@@ -34,7 +34,7 @@
     /** Part of its capacity that it has, when last looked at. */
     double warmth = 1;
 
-    EngineState(Engine e, Kind machine) {
+    EngineState(Engine e, MachineType machine) {
         this.id = e.id();
         this.zone = e.zone();
         this.kind = e.kind();
--- a/src/main/java/cairnline/simhost/SettingsReader.java
+++ b/src/main/java/cairnline/simhost/SettingsReader.java
@@ -1,7 +1,7 @@
 package cairnline.simhost;
 
 import cairnline.control.ControlApi.RetrySafety;
-import cairnline.control.ControlApi.Kind;
+import cairnline.control.ControlApi.MachineType;
 import cairnline.control.ControlApi.Permissions;
 import cairnline.control.ControlApi.SafetyRules;
 import cairnline.control.ControlApi.DeduplicationScope;
@@ -76,11 +76,11 @@
         return tenants;
     }
 
-    private Map<String, Kind> kinds() {
-        Map<String, Kind> kinds = new LinkedHashMap<>();
+    private Map<String, MachineType> kinds() {
+        Map<String, MachineType> kinds = new LinkedHashMap<>();
         List<String> names = list("shapes");
         for (int i = 0; i < names.size(); i++) {
-            kinds.put(names.get(i), new Kind((int) perClass("specifics.coresByKind", i, 1),
+            kinds.put(names.get(i), new MachineType((int) perClass("specifics.coresByKind", i, 1),
                     perClass("specifics.sizeMb", i, 0)));
         }
         return kinds;
--- a/src/test/java/cairnline/control/Script.java
+++ b/src/test/java/cairnline/control/Script.java
@@ -4,7 +4,7 @@
 import cairnline.control.ControlApi.RetrySafety;
 import cairnline.control.ControlApi.AttemptStatus;
 import cairnline.control.ControlApi.Engine;
-import cairnline.control.ControlApi.Kind;
+import cairnline.control.ControlApi.MachineType;
 import cairnline.control.ControlApi.EngineStatus;
 import cairnline.control.ControlApi.Load;
 import cairnline.control.ControlApi.StatusUpdate;
@@ -57,9 +57,9 @@
                     List.of(), kinds);
             RequestClassSettings big = new RequestClassSettings("big", 3 * SECOND, 2, 15 * SECOND, 10, 0.4, RetrySafety.SAFE, DeduplicationScope.ALL, 0, false, 4, bigHolds,
                     false, List.of(), List.of());
-            Map<String, Kind> machines = new LinkedHashMap<>();
-            machines.put("plain", new Kind(8, 16_000));
-            machines.put("large", new Kind(16, 32_000));
+            Map<String, MachineType> machines = new LinkedHashMap<>();
+            machines.put("plain", new MachineType(8, 16_000));
+            machines.put("large", new MachineType(16, 32_000));
             return new Settings(0, fronts, "north", List.of(small, big), List.of(new Tenant("one", 0.8, 100), new Tenant("two", 0.2, 20)), machines,
                     new Permissions(attempts, cancel, copies, probes, false, retryAfter, SECOND, true, true),
                     new SafetyRules(500 * MS, coldFrom, 10 * SECOND, 2, 2 * SECOND, 500 * MS, spare, perRequest, 10 * SECOND),
