--- a/src/main/java/cairnline/control/Control.java
+++ b/src/main/java/cairnline/control/Control.java
@@ -1,7 +1,7 @@
 package cairnline.control;
 
 import cairnline.control.Query.Attempt;
-import cairnline.control.Query.Line;
+import cairnline.control.Query.KeyQueue;
 
 import java.util.ArrayList;
 import java.util.Collections;
@@ -93,7 +93,7 @@
     /** The same engines; each choice moves those that it looks at to the front. */
     private final List<EngineEstimate> ranked = new ArrayList<>();
     private final Map<String, Query> queries = new HashMap<>();
-    private final Map<Long, Line> lines = new LinkedHashMap<>();
+    private final Map<Long, KeyQueue> lines = new LinkedHashMap<>();
     private final TreeSet<Query> unsent = new TreeSet<>(Query.BY_EXPIRY);
     private final Window taken = new Window(), extra = new Window();
     private final Map<String, Double> shares = new HashMap<>();
@@ -258,7 +258,7 @@
         }
         unsent.add(q);
         if (kin.type.serial() && r.hasKey()) {
-            q.line = lines.computeIfAbsent(r.key(), Line::new);
+            q.line = lines.computeIfAbsent(r.key(), KeyQueue::new);
             q.line.waiting.addLast(q);
         }
         if (keyTurn(q)) {
@@ -510,7 +510,7 @@
     }
 
     /** Lets the first request of a key go when its turn has come. */
-    private void advance(Line line) {
+    private void advance(KeyQueue line) {
         if (line.waiting.isEmpty()) {
             if (line.attemptsOut == 0 && now >= line.restUntil) {
                 lines.remove(line.key);
--- a/src/main/java/cairnline/control/Query.java
+++ b/src/main/java/cairnline/control/Query.java
@@ -38,7 +38,7 @@
     /** How often engines failed it, and the first that did. */
     int errors;
     EngineEstimate failedBy;
-    Line line;
+    KeyQueue line;
     /** It was called off behind a load. */
     boolean moved;
     /** Its tenant asked more than its share when it came. */
@@ -89,13 +89,13 @@
     }
 
     /** The requests of one key, in the order taken. */
-    static final class Line {
+    static final class KeyQueue {
         final long key;
         final ArrayDeque<Query> waiting = new ArrayDeque<>(2);
         int attemptsOut;
         long restUntil;
 
-        Line(long key) {
+        KeyQueue(long key) {
             this.key = key;
         }
     }
