--- a/src/main/java/cairnline/control/Control.java
+++ b/src/main/java/cairnline/control/Control.java
@@ -83,7 +83,7 @@
     private final Settings settings;
     private final Actions out;
     private final SplittableRandom random;
-    private final Map<String, Fleet> fleets = new HashMap<>();
+    private final Map<String, FleetLoad> fleets = new HashMap<>();
     private final long bornAt;
     private final ProbeBudget probes;
     /** Engines looked at for a query: fronts that all take the best of all take the same, and so jam it. */
@@ -783,7 +783,7 @@
                     continue;
                 }
                 h = new EngineEstimate(e, settings, fleets.computeIfAbsent(e.kind(),
-                        kind -> new Fleet(settings.fronts())));
+                        kind -> new FleetLoad(settings.fronts())));
                 hosts.put(e.id(), h);
                 h.probeAt = probes.first(now, hosts.size());
                 ranked.add(h);
@@ -813,7 +813,7 @@
     /** Takes stock of the cores that are ready, as warm as they are. */
     private void count() {
         countedAt = now;
-        fleets.values().forEach(Fleet::clear);
+        fleets.values().forEach(FleetLoad::clear);
         for (EngineEstimate h : hosts.values()) {
             h.warmth = h.warmth(settings.rules(), now);
             if (h.listed == EngineStatus.READY) {
--- a/src/main/java/cairnline/control/EngineEstimate.java
+++ b/src/main/java/cairnline/control/EngineEstimate.java
@@ -28,7 +28,7 @@
     /** Threads of a query before this manager has sent any. */
     private static final double THREADS_PRIOR = 1.5;
 
-    final Fleet fleet;
+    final FleetLoad fleet;
     final List<Predictor> predictors = new ArrayList<>();
     Health health = new Health();
     Pace pace = new Pace();
@@ -36,7 +36,7 @@
     int lostProbes;
     double foreignThreads, share, draw;
 
-    EngineEstimate(Engine e, Settings settings, Fleet fleet) {
+    EngineEstimate(Engine e, Settings settings, FleetLoad fleet) {
         super(e, settings.kinds().get(e.kind()));
         this.fleet = fleet;
         this.share = 1.0 / settings.fronts();
@@ -89,7 +89,7 @@
 
     /** How far own threads tell of all: by how many of them the mark would mean. */
     private double trust(double mark) {
-        return Fleet.trust(share * cores * mark);
+        return FleetLoad.trust(share * cores * mark);
     }
 
     /**
--- a/src/main/java/cairnline/control/Fleet.java
+++ b/src/main/java/cairnline/control/FleetLoad.java
@@ -8,7 +8,7 @@
  * the others. Over all engines together they are many, and the others' are as many times more as there are others, or as
  * the reports of engines say together.
  */
-final class Fleet {
+final class FleetLoad {
     /** Least weight of a report in the means: some twenty reports, since one holds a handful of own threads at most. */
     private static final double GAIN = 0.05;
     /** Time in which reports of others' threads come down to 1/e: engines fill and empty in seconds. */
@@ -32,7 +32,7 @@
     private int threads, attempts;
     private double cores;
 
-    Fleet(int fronts) {
+    FleetLoad(int fronts) {
         this.expected = 1.0 / fronts;
     }
 
--- a/src/test/java/cairnline/control/FleetTrustTest.java
+++ b/src/test/java/cairnline/control/FleetTrustTest.java
@@ -11,8 +11,8 @@
     private static final int CORES = 16;
 
     /** A fleet of a hundred fronts with 40 engines ready, this front having nothing out. */
-    private static Fleet ofHundred() {
-        Fleet fleet = new Fleet(100);
+    private static FleetLoad ofHundred() {
+        FleetLoad fleet = new FleetLoad(100);
         fleet.count(40 * CORES, 0, 0);
         return fleet;
     }
@@ -20,7 +20,7 @@
     /** Two reports a second are all that a front pays for: the first ones count, and not twenty of them later. */
     @Test
     void aFewReportsOfFullEnginesSayThatTheFleetIsFull() {
-        Fleet fleet = ofHundred();
+        FleetLoad fleet = ofHundred();
         for (long half = 1; half <= 4; half++) {
             fleet.hear(0, 48, CORES, half * SECOND / 2);
         }
@@ -30,7 +30,7 @@
     /** Engines that filled up since: within seconds, not tens of seconds. */
     @Test
     void rareReportsFollowAFleetThatFillsUp() {
-        Fleet fleet = ofHundred();
+        FleetLoad fleet = ofHundred();
         for (long half = 1; half <= 20; half++) {
             fleet.hear(0, 8, CORES, half * SECOND / 2);
         }
