--- a/src/main/java/cairnline/control/Control.java
+++ b/src/main/java/cairnline/control/Control.java
@@ -103,7 +103,7 @@
     private long now, sequence, markedAt, awakeAt, countedAt;
     private long wakeAt = Long.MAX_VALUE;
     private double mark = EngineEstimate.MARK;
-    private final Health.Usual usual = new Health.Usual();
+    private final EngineHealth.Usual usual = new EngineHealth.Usual();
 
     /** Starts a front's decisions; {@code seed} feeds all random draws. */
     public Control(Settings settings, long seed, long now, Actions out) {
--- a/src/main/java/cairnline/control/EngineEstimate.java
+++ b/src/main/java/cairnline/control/EngineEstimate.java
@@ -30,7 +30,7 @@
 
     final FleetLoad fleet;
     final List<Predictor> predictors = new ArrayList<>();
-    Health health = new Health();
+    EngineHealth health = new EngineHealth();
     Pace pace = new Pace();
     long reportedAt, drawnUntil, probeAt;
     int lostProbes;
@@ -46,7 +46,7 @@
     void restarted(long at) {
         startedAt = at;
         coldSince = at;
-        health = new Health();
+        health = new EngineHealth();
         pace = new Pace();
         foreignThreads = 0;
         reportedAt = at;
--- a/src/main/java/cairnline/control/Health.java
+++ b/src/main/java/cairnline/control/EngineHealth.java
@@ -9,7 +9,7 @@
  * engine is there, and nothing of the requests that it fails. Could harm where an engine answers probes and no requests:
  * then only the silence of each attempt is left to tell.
  */
-final class Health {
+final class EngineHealth {
     /** Odds before anything is seen, and at most. */
     private static final double PRIOR = 0.05, SURE = 4;
     /** Part of its attempts that a sick engine fails, and what well ones fail at least. */
