--- a/src/main/java/cairnline/control/EngineEstimate.java
+++ b/src/main/java/cairnline/control/EngineEstimate.java
@@ -31,7 +31,7 @@
     final FleetLoad fleet;
     final List<Predictor> predictors = new ArrayList<>();
     EngineHealth health = new EngineHealth();
-    Pace pace = new Pace();
+    RelativeSlowness pace = new RelativeSlowness();
     long reportedAt, drawnUntil, probeAt;
     int lostProbes;
     double foreignThreads, share, draw;
@@ -47,7 +47,7 @@
         startedAt = at;
         coldSince = at;
         health = new EngineHealth();
-        pace = new Pace();
+        pace = new RelativeSlowness();
         foreignThreads = 0;
         reportedAt = at;
         predictors.forEach(p -> p.t = 0);
--- a/src/main/java/cairnline/control/Pace.java
+++ b/src/main/java/cairnline/control/RelativeSlowness.java
@@ -8,7 +8,7 @@
  * long query. All classes together, with what the notes of running attempts foretell, are several times as many. The
  * less was heard and the longer ago, the nearer this is to 1, the others' mean.
  */
-final class Pace {
+final class RelativeSlowness {
     /** Time in which what was heard comes down to 1/e: engines jam and recover in seconds. */
     private static final double LIFE = 4e9;
     /** Answers that the others' mean counts for. */
--- a/src/test/java/cairnline/control/ManyFrontsTest.java
+++ b/src/test/java/cairnline/control/ManyFrontsTest.java
@@ -203,7 +203,7 @@
 
     @Test
     void anEngineIsJudgedByAllClassesTogetherAndTheOthersWhereLittleIsHeard() {
-        Pace pace = new Pace();
+        RelativeSlowness pace = new RelativeSlowness();
         assertEquals(1, pace.factor(SECOND), 1e-9);
         pace.hear(4, 1, SECOND);
         double once = pace.factor(SECOND);
