--- a/src/main/java/cairnline/control/Control.java
+++ b/src/main/java/cairnline/control/Control.java
@@ -95,10 +95,10 @@
     private final Map<String, Query> queries = new HashMap<>();
     private final Map<Long, KeyQueue> lines = new LinkedHashMap<>();
     private final TreeSet<Query> unsent = new TreeSet<>(Query.BY_EXPIRY);
-    private final Window taken = new Window(), extra = new Window();
+    private final SlidingWindow taken = new SlidingWindow(), extra = new SlidingWindow();
     private final Map<String, Double> shares = new HashMap<>();
-    private final Window allAsked = new Window();
-    private final Map<String, Window> asked = new HashMap<>();
+    private final SlidingWindow allAsked = new SlidingWindow();
+    private final Map<String, SlidingWindow> asked = new HashMap<>();
     private final Set<Attempt> sent = new LinkedHashSet<>();
     private long now, sequence, markedAt, awakeAt, countedAt;
     private long wakeAt = Long.MAX_VALUE;
@@ -295,7 +295,7 @@
     /** Counts a tenant's request; tells whether its part of this front's traffic is well past its share. */
     private boolean overShare(String tenant) {
         allAsked.add(now, 1);
-        Window its = asked.computeIfAbsent(tenant, name -> new Window());
+        SlidingWindow its = asked.computeIfAbsent(tenant, name -> new SlidingWindow());
         its.add(now, 1);
         long since = now - SHARE_WINDOW;
         return its.since(since) > OVER_SHARE * shares.getOrDefault(tenant, 1.0) * allAsked.since(since);
--- a/src/main/java/cairnline/control/EngineState.java
+++ b/src/main/java/cairnline/control/EngineState.java
@@ -22,7 +22,7 @@
     /** Loads of this front that hold a group of tables here. */
     final Map<Integer, Integer> holding = new HashMap<>();
     /** Work sent while cold. */
-    final Window coldSends = new Window();
+    final SlidingWindow coldSends = new SlidingWindow();
     EngineStatus listed = EngineStatus.READY;
     long startedAt;
     /** Whether that is known; else it may not warm up before the rules' last moment. */
--- a/src/main/java/cairnline/control/ProbeBudget.java
+++ b/src/main/java/cairnline/control/ProbeBudget.java
@@ -27,7 +27,7 @@
 
     private final double perRequest;
     private final SplittableRandom random;
-    private final Window requests = new Window();
+    private final SlidingWindow requests = new SlidingWindow();
     private final long startedAt;
 
     /** {@code price} is the part of the worth asked for that a probe for each request costs; 0 if they are free. */
--- a/src/main/java/cairnline/control/Window.java
+++ b/src/main/java/cairnline/control/SlidingWindow.java
@@ -3,7 +3,7 @@
 import java.util.ArrayDeque;
 
 /** Amounts with their times, summed over a sliding window; plain state of {@link Control}. */
-final class Window {
+final class SlidingWindow {
     private record Entry(long at, double amount) { }
 
     private final ArrayDeque<Entry> entries = new ArrayDeque<>();
