--- a/src/main/java/cairnline/control/RequestClass.java
+++ b/src/main/java/cairnline/control/RequestClass.java
@@ -25,7 +25,7 @@
     final int index;
     final TreeSet<Query> held = new TreeSet<>(Query.BY_DEADLINE);
     final double priorWork;
-    final WorkEstimate estimate = new WorkEstimate();
+    final WorkEstimator estimate = new WorkEstimator();
     double meanWork, memoryRatio = 1;
     long patience;
     double asked = 1, errorSquare, wait, rho = 1, usual, ratio = 1, meanMin, meanCrowd = 1;
--- a/src/main/java/cairnline/control/WorkEstimate.java
+++ b/src/main/java/cairnline/control/WorkEstimator.java
@@ -7,7 +7,7 @@
  * as twelve times the usual is three times as large, and would be refused for what it does not need. This is the linear
  * regression of the logarithm of the work on that of the estimate, over recent answers.
  */
-final class WorkEstimate {
+final class WorkEstimator {
     /** Weight of the newest answer, once there are some. */
     private static final double GAIN = 0.02;
     /** Answers that the prior counts for: that estimates are right. */
--- a/src/test/java/cairnline/control/WorkEstimateTest.java
+++ b/src/test/java/cairnline/control/WorkEstimateTest.java
@@ -10,8 +10,8 @@
     private static final double USUAL = 400;
 
     /** Work and estimates both scatter, in logarithms, by these deviations. */
-    private static WorkEstimate learned(double workSpread, double error) {
-        WorkEstimate estimate = new WorkEstimate();
+    private static WorkEstimator learned(double workSpread, double error) {
+        WorkEstimator estimate = new WorkEstimator();
         SplittableRandom random = new SplittableRandom(5);
         for (int i = 0; i < 400; i++) {
             double work = USUAL * Math.exp(workSpread * random.nextGaussian());
@@ -22,7 +22,7 @@
 
     @Test
     void beforeAnyAnswerTheEstimateStands() {
-        assertEquals(1234, new WorkEstimate().expected(1234), 1e-9);
+        assertEquals(1234, new WorkEstimator().expected(1234), 1e-9);
     }
 
     /** A lookup told as twelve times the usual was refused for what it did not need. */
@@ -34,14 +34,14 @@
 
     @Test
     void estimatesThatHoldAreBelieved() {
-        WorkEstimate estimate = learned(0.7, 0.01);
+        WorkEstimator estimate = learned(0.7, 0.01);
         assertEquals(12 * USUAL, estimate.expected(12 * USUAL), 0.05 * 12 * USUAL);
         assertEquals(USUAL / 5, estimate.expected(USUAL / 5), 0.05 * USUAL / 5);
     }
 
     @Test
     void estimatesThatLieTooLowByAClassAreRaised() {
-        WorkEstimate estimate = new WorkEstimate();
+        WorkEstimator estimate = new WorkEstimator();
         for (int i = 1; i <= 100; i++) {
             estimate.learn(10 * i, 20 * i);
         }
@@ -50,7 +50,7 @@
 
     @Test
     void theSameEstimateForAllSaysOnlyWhatIsUsual() {
-        WorkEstimate estimate = new WorkEstimate();
+        WorkEstimator estimate = new WorkEstimator();
         for (int i = 0; i < 100; i++) {
             estimate.learn(50, i % 2 == 0 ? 100 : 400);
         }
