--- a/src/main/java/cairnline/simhost/Host.java
+++ b/src/main/java/cairnline/simhost/BatchProcessor.java
@@ -20,7 +20,7 @@
 import java.util.Map;
 
 /** Reads batches of events, hands them to the instances they name and collects their actions. */
-final class Host {
+final class BatchProcessor {
     private static final long NS_PER_MS = 1_000_000;
     private static final int COST_BASE = 4096;
     private static final int MB_PER_COST_UNIT = 4;
@@ -32,7 +32,7 @@
     private final List<List<Engine>> lists = new ArrayList<>();
     private final Fields in = new Fields();
 
-    Host() {
+    BatchProcessor() {
         for (int i = 0; i < KEPT_LISTS; i++) {
             lists.add(null);
         }
--- a/src/main/java/cairnline/simhost/SimHost.java
+++ b/src/main/java/cairnline/simhost/SimHost.java
@@ -13,7 +13,7 @@
 
     /** Answers batches until the input ends. */
     public static void serve(BufferedReader in, OutputStream out) throws IOException {
-        Host host = new Host();
+        BatchProcessor host = new BatchProcessor();
         StringBuilder reply = new StringBuilder(BUFFER);
         while (host.batch(in, reply)) {
             out.write(reply.toString().getBytes(StandardCharsets.UTF_8));
