--- a/src/main/java/cairnline/simhost/Replies.java
+++ b/src/main/java/cairnline/simhost/ActionWriter.java
@@ -5,11 +5,11 @@
 import java.util.Base64;
 
 /** Writes one instance's actions as wire lines. */
-final class Replies implements Actions {
+final class ActionWriter implements Actions {
     private final StringBuilder out;
     private final String front;
 
-    Replies(StringBuilder out, long front) {
+    ActionWriter(StringBuilder out, long front) {
         this.out = out;
         this.front = " frontId=" + front;
     }
--- a/src/main/java/cairnline/simhost/BatchProcessor.java
+++ b/src/main/java/cairnline/simhost/BatchProcessor.java
@@ -26,7 +26,7 @@
     private static final int MB_PER_COST_UNIT = 4;
     private static final int KEPT_LISTS = 16;
 
-    private record Instance(ControlApi control, Replies replies) { }
+    private record Instance(ControlApi control, ActionWriter replies) { }
 
     private final Map<Long, Instance> instances = new HashMap<>();
     private final List<List<Engine>> lists = new ArrayList<>();
@@ -78,7 +78,7 @@
 
     private void hello(long now, String line, StringBuilder reply) {
         long front = in.whole("frontId");
-        Replies replies = new Replies(reply, front);
+        ActionWriter replies = new ActionWriter(reply, front);
         try {
             ControlApi control = new Control(new SettingsReader(in).read(), in.whole("randomSeed", 0), now, replies);
             instances.put(front, new Instance(control, replies));
