--- a/src/test/java/cairnline/control/DecisionsTest.java
+++ b/src/test/java/cairnline/control/DecisionsTest.java
@@ -1,7 +1,7 @@
 package cairnline.control;
 
-import static cairnline.control.Script.MS;
-import static cairnline.control.Script.SECOND;
+import static cairnline.control.ScriptedFront.MS;
+import static cairnline.control.ScriptedFront.SECOND;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -10,7 +10,7 @@
 import cairnline.control.ControlApi.AttemptStatus;
 import cairnline.control.ControlApi.Load;
 import cairnline.control.ControlApi.Outcome;
-import cairnline.control.Script.Site;
+import cairnline.control.ScriptedFront.Site;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -20,7 +20,7 @@
     private final Site site = new Site();
 
     /** Serves one query from send to success. */
-    private static void serve(Script s, String id, String type, long rtt) {
+    private static void serve(ScriptedFront s, String id, String type, long rtt) {
         s.take(id, type);
         s.pass(rtt);
         s.end(id, 0, s.engineOf(id), AttemptStatus.OK, rtt);
@@ -28,7 +28,7 @@
 
     @Test
     void aFastFailingEngineDoesNotAttractTraffic() {
-        Script s = new Script(site);
+        ScriptedFront s = new ScriptedFront(site);
         s.list("e1", "e2");
         int failed = 0;
         for (int i = 0; i < 60; i++) {
@@ -46,7 +46,7 @@
 
     @Test
     void oneLongQueryCausesNoRefusals() {
-        Script s = new Script(site);
+        ScriptedFront s = new ScriptedFront(site);
         s.list("e1", "e2");
         for (int i = 0; i < 20; i++) {
             serve(s, "a" + i, "small", 80 * MS);
@@ -60,7 +60,7 @@
 
     @Test
     void whenAllEnginesFailTheyAreStillTried() {
-        Script s = new Script(site);
+        ScriptedFront s = new ScriptedFront(site);
         s.list("e1", "e2");
         for (int i = 0; i < 20; i++) {
             s.take("a" + i, "small");
@@ -74,7 +74,7 @@
 
     @Test
     void overTheMarkQueriesAreHeldAndLeaveByDeadline() {
-        Script s = new Script(site);
+        ScriptedFront s = new ScriptedFront(site);
         s.list("e1");
         for (int i = 0; i < 6; i++) {
             s.take("big" + i, "big");
@@ -102,7 +102,7 @@
     @Test
     void theCheaperClassGoesFirstOnShortCoresWhateverTheAims() {
         site.smallAim = 3100 * MS;
-        Script s = new Script(site);
+        ScriptedFront s = new ScriptedFront(site);
         s.list("e1", "e2");
         for (int i = 0; i < 40; i++) {
             serve(s, "a" + i, "small", 80 * MS);
@@ -117,7 +117,7 @@
         for (boolean wait : new boolean[] {false, true}) {
             site.bigHolds = true;
             site.smallWaits = wait;
-            Script s = new Script(site);
+            ScriptedFront s = new ScriptedFront(site);
             s.list("e1");
             s.take("x", "big");
             assertEquals(wait ? 1 : 0, s.count("terms x 0 2"));
@@ -127,7 +127,7 @@
     /** Delays once stood for work where answers tell none, so classes grew heavier as engines filled. */
     @Test
     void toldWorkAndNotDelayMakesAClassLight() {
-        Script s = new Script(site);
+        ScriptedFront s = new ScriptedFront(site);
         s.list("e1", "e2");
         for (int i = 0; i < 80; i++) {
             s.takeTold("a" + i, "small", SECOND);
@@ -145,9 +145,9 @@
     }
 
     /** A query of a class that usually takes half a second, with its progress after that time. */
-    private Script afterHalfASecond(double done) {
+    private ScriptedFront afterHalfASecond(double done) {
         site.cancel = true;
-        Script s = new Script(site);
+        ScriptedFront s = new ScriptedFront(site);
         s.list("e1", "e2");
         for (int i = 0; i < 30; i++) {
             serve(s, "a" + i, "big", 500 * MS);
@@ -160,7 +160,7 @@
 
     @Test
     void aRunawayIsCalledOffAndTriedAgain() {
-        Script s = afterHalfASecond(0.02);
+        ScriptedFront s = afterHalfASecond(0.02);
         assertEquals(1, s.count("cancel x 0"));
         s.end("x", 0, s.engineOf("x"), AttemptStatus.CANCELLED, 500 * MS);
         assertEquals(2, s.count("send x"));
@@ -168,13 +168,13 @@
 
     @Test
     void anAttemptThatGetsOnWellIsLeftAlone() {
-        Script s = afterHalfASecond(0.5);
+        ScriptedFront s = afterHalfASecond(0.5);
         assertEquals(0, s.count("cancel"));
     }
 
     @Test
     void aTinyEngineListChangeDoesNotForgetHeldQueries() {
-        Script s = new Script(site);
+        ScriptedFront s = new ScriptedFront(site);
         s.list();
         s.take("a", "small");
         s.list("e1");
@@ -183,7 +183,7 @@
 
     @Test
     void anEngineReportedFullLongAgoIsTriedAgain() {
-        Script s = new Script(site);
+        ScriptedFront s = new ScriptedFront(site);
         s.list("e1", "e2");
         Load full = new Load(Double.NaN, Double.NaN, 60, 1.5, Double.NaN);
         s.take("a", "small");
@@ -200,7 +200,7 @@
 
     @Test
     void aSilentEngineIsPassedOver() {
-        Script s = new Script(site);
+        ScriptedFront s = new ScriptedFront(site);
         s.list("e1", "e2");
         for (int i = 0; i < 20; i++) {
             serve(s, "a" + i, "small", 80 * MS);
@@ -216,7 +216,7 @@
 
     @Test
     void onFullEnginesTrafficPastItsTenantsShareIsRefusedFirst() {
-        Script s = new Script(site);
+        ScriptedFront s = new ScriptedFront(site);
         s.list("e1");
         for (int i = 0; i < 30; i++) {
             s.takeOf("two", "a" + i, "big");
@@ -228,7 +228,7 @@
 
     @Test
     void onFullEnginesVeryCostlyQueriesPayForTheirTime() {
-        Script s = new Script(site);
+        ScriptedFront s = new ScriptedFront(site);
         s.list("e1");
         for (int i = 0; i < 6; i++) {
             s.take("a" + i, "big");
@@ -241,7 +241,7 @@
 
     @Test
     void aBurstSpreadsOverTheEngines() {
-        Script s = new Script(site);
+        ScriptedFront s = new ScriptedFront(site);
         s.list("e1", "e2", "e3", "e4");
         for (int i = 0; i < 40; i++) {
             s.take("a" + i, "small");
@@ -254,7 +254,7 @@
 
     @Test
     void heldQueriesShareOneTimer() {
-        Script s = new Script(site);
+        ScriptedFront s = new ScriptedFront(site);
         s.list();
         for (int i = 0; i < 100; i++) {
             s.take("a" + i, "small");
@@ -269,7 +269,7 @@
 
     @Test
     void aFullyBusyEngineCountsAsFullOfOthers() {
-        Script s = new Script(site);
+        ScriptedFront s = new ScriptedFront(site);
         s.list("e1", "e2");
         Load busy = new Load(1.0, 0, Double.NaN, 0.1, 1);
         Load idle = new Load(0.1, 0, Double.NaN, 0.1, 0);
@@ -293,7 +293,7 @@
 
     @Test
     void wrongUseIsRejected() {
-        Script s = new Script(site);
+        ScriptedFront s = new ScriptedFront(site);
         s.list("e1");
         s.take("a", "small");
         assertThrows(IllegalArgumentException.class, () -> s.take("a", "small"));
@@ -306,12 +306,12 @@
 
     @Test
     void equalEventsGiveEqualActionsAlsoBesideOtherInstances() {
-        List<Script> all = List.of(new Script(site), new Script(site), new Script(site));
-        for (Script s : all) {
+        List<ScriptedFront> all = List.of(new ScriptedFront(site), new ScriptedFront(site), new ScriptedFront(site));
+        for (ScriptedFront s : all) {
             s.list("e1", "e2", "e3");
         }
         for (int i = 0; i < 500; i++) {
-            for (Script s : all.subList(0, 2)) {
+            for (ScriptedFront s : all.subList(0, 2)) {
                 step(s, i);
             }
         }
@@ -323,7 +323,7 @@
         assertTrue(all.get(0).count("send") > 100);
     }
 
-    private static void step(Script s, int i) {
+    private static void step(ScriptedFront s, int i) {
         s.take("q" + i, i % 5 == 0 ? "big" : "small");
         s.pass(7 * MS);
         if (i >= 10 && s.engineOf("q" + (i - 10)) != null) {
--- a/src/test/java/cairnline/control/EmbeddingTest.java
+++ b/src/test/java/cairnline/control/EmbeddingTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import cairnline.control.Script.Site;
+import cairnline.control.ScriptedFront.Site;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
@@ -10,12 +10,12 @@
 class EmbeddingTest {
     @Test
     void aFrontOfAFewLines() {
-        Script front = new Script(new Site());
+        ScriptedFront front = new ScriptedFront(new Site());
         front.list("engine-1");
         front.take("query-1", "small");
         assertEquals(List.of("send query-1 engine-1"), front.fresh());
-        front.pass(80 * Script.MS);
-        front.end("query-1", 0, "engine-1", ControlApi.AttemptStatus.OK, 80 * Script.MS);
+        front.pass(80 * ScriptedFront.MS);
+        front.end("query-1", 0, "engine-1", ControlApi.AttemptStatus.OK, 80 * ScriptedFront.MS);
         assertEquals(List.of(), front.fresh());
     }
 }
--- a/src/test/java/cairnline/control/FleetTest.java
+++ b/src/test/java/cairnline/control/FleetTest.java
@@ -1,7 +1,7 @@
 package cairnline.control;
 
-import static cairnline.control.Script.MS;
-import static cairnline.control.Script.SECOND;
+import static cairnline.control.ScriptedFront.MS;
+import static cairnline.control.ScriptedFront.SECOND;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -13,7 +13,7 @@
 import cairnline.control.ControlApi.Load;
 import cairnline.control.ControlApi.StatusKind;
 import cairnline.control.ControlApi.Outcome;
-import cairnline.control.Script.Site;
+import cairnline.control.ScriptedFront.Site;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -27,11 +27,11 @@
     private static final int ENGINES = 60;
     private final Site site = new Site();
 
-    private List<Script> fronts() {
+    private List<ScriptedFront> fronts() {
         site.fronts = FRONTS;
-        List<Script> all = new ArrayList<>();
+        List<ScriptedFront> all = new ArrayList<>();
         for (int i = 0; i < FRONTS; i++) {
-            all.add(new Script(site, 100 * SECOND, 1000 + i));
+            all.add(new ScriptedFront(site, 100 * SECOND, 1000 + i));
         }
         return all;
     }
@@ -45,12 +45,12 @@
     }
 
     /** Times of sends to each engine; each front takes five light queries a second for four seconds. */
-    private static Map<String, List<Long>> sends(List<Script> fronts, List<Engine> list) {
+    private static Map<String, List<Long>> sends(List<ScriptedFront> fronts, List<Engine> list) {
         fronts.forEach(s -> s.control.engines(s.now, true, list));
         SplittableRandom random = new SplittableRandom(7);
         Map<String, List<Long>> sends = new HashMap<>();
         for (int tick = 0; tick < 800; tick++) {
-            for (Script s : fronts) {
+            for (ScriptedFront s : fronts) {
                 s.now += 5 * MS;
                 if (random.nextInt(40) == 0) {
                     String id = "q" + tick;
@@ -83,7 +83,7 @@
     void newEnginesGetTheirPartOfAllFrontsInEveryWindow() {
         List<Engine> list = new ArrayList<>();
         for (int i = 0; i < ENGINES; i++) {
-            list.add(Script.engine("e" + i, EngineStatus.READY, "plain", i % 3 == 0 ? 100 * SECOND : 0));
+            list.add(ScriptedFront.engine("e" + i, EngineStatus.READY, "plain", i % 3 == 0 ? 100 * SECOND : 0));
         }
         Map<String, List<Long>> sends = sends(fronts(), list);
         for (int i = 0; i < ENGINES; i += 3) {
@@ -94,12 +94,12 @@
 
     @Test
     void newEnginesAreNotPushedOverWhenTheyAreAllThereIs() {
-        List<Engine> list = List.of(Script.engine("e0", EngineStatus.READY, "plain", 100 * SECOND));
+        List<Engine> list = List.of(ScriptedFront.engine("e0", EngineStatus.READY, "plain", 100 * SECOND));
         assertUnderTheColdRule(sends(fronts(), list).get("e0"));
         site.fronts = 3;
-        List<Script> few = new ArrayList<>();
+        List<ScriptedFront> few = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
-            few.add(new Script(site, 100 * SECOND, i));
+            few.add(new ScriptedFront(site, 100 * SECOND, i));
         }
         assertUnderTheColdRule(sends(few, list).get("e0"));
     }
@@ -107,7 +107,7 @@
     @Test
     void frontsThatHaveHeardNothingSpreadOverTheEngines() {
         Map<String, Integer> sends = new HashMap<>();
-        for (Script s : fronts()) {
+        for (ScriptedFront s : fronts()) {
             s.list(engines(ENGINES));
             s.take("a", "small");
             sends.merge(s.engineOf("a"), 1, Integer::sum);
@@ -119,7 +119,7 @@
     @Test
     void oneLightQueryOutDoesNotMakeAnEngineFull() {
         site.fronts = FRONTS;
-        Script s = new Script(site);
+        ScriptedFront s = new ScriptedFront(site);
         s.list("e1");
         for (int i = 0; i < 5; i++) {
             s.take("a" + i, "small");
@@ -130,7 +130,7 @@
     @Test
     void aThirdOfAnswersResetLeavesTheFleetInUse() {
         site.fronts = FRONTS;
-        Script s = new Script(site);
+        ScriptedFront s = new ScriptedFront(site);
         s.list(engines(12));
         Map<String, Integer> late = new HashMap<>();
         for (int i = 0; i < 600; i++) {
@@ -152,7 +152,7 @@
     }
 
     /** Takes eight, lets those at one engine end so at once, and counts what it gets of the next forty. */
-    private long afterLossAt(Script s, AttemptStatus end, boolean probed) {
+    private long afterLossAt(ScriptedFront s, AttemptStatus end, boolean probed) {
         s.list("e1", "e2");
         for (int i = 0; i < 8; i++) {
             s.take("a" + i, "small");
@@ -178,13 +178,13 @@
     @Test
     void attemptsLostTogetherWithTheirConnectionLeaveTheEngineInUse() {
         site.attempts = 1;
-        assertTrue(afterLossAt(new Script(site), AttemptStatus.RESET, false) >= 8);
+        assertTrue(afterLossAt(new ScriptedFront(site), AttemptStatus.RESET, false) >= 8);
     }
 
     @Test
     void anEngineThatAnswersAProbeIsThere() {
         site.attempts = 1;
-        Script s = new Script(site);
+        ScriptedFront s = new ScriptedFront(site);
         s.list("e1", "e2");
         for (int i = 0; i < 4; i++) {
             s.take("c" + i, "small");
@@ -197,7 +197,7 @@
     @Test
     void eachEngineIsAskedForItsLoadNowAndThen() {
         site.probes = true;
-        Script s = new Script(site);
+        ScriptedFront s = new ScriptedFront(site);
         s.list("e1", "e2");
         s.pass(10 * SECOND);
         assertTrue(Math.abs(s.count("probe e1") - 10) <= 2, "probes of e1: " + s.count("probe e1"));
@@ -206,7 +206,7 @@
 
     @Test
     void whatNoEngineCanUseSpeaksAgainstNone() {
-        Script s = new Script(site);
+        ScriptedFront s = new ScriptedFront(site);
         s.list("e1", "e2", "e3");
         for (int i = 0; i < 10; i++) {
             s.take("a" + i, "small");
@@ -229,7 +229,7 @@
     @Test
     void withoutLostAnswersNoAttemptIsCutShort() {
         site.cancel = true;
-        Script s = new Script(site);
+        ScriptedFront s = new ScriptedFront(site);
         s.list("e1", "e2");
         for (int i = 0; i < 60; i++) {
             s.take("a" + i, "small");
@@ -245,7 +245,7 @@
         site.effect = RetrySafety.KEYED;
         site.window = 2 * SECOND;
         site.attempts = 6;
-        Script s = new Script(site);
+        ScriptedFront s = new ScriptedFront(site);
         s.list("e1", "e2", "e3");
         for (int i = 0; i < 200; i++) {
             String id = "a" + i;
@@ -263,7 +263,7 @@
 
     @Test
     void aRequestWithHardlyAnyTimeIsAnsweredAtOnce() {
-        Script s = new Script(site);
+        ScriptedFront s = new ScriptedFront(site);
         s.list();
         s.take("a", "small", 20 * MS);
         assertEquals(List.of("refuse a"), s.fresh());
@@ -274,10 +274,10 @@
 
     @Test
     void aFurtherAttemptWaitsForAnEngine() {
-        Script s = new Script(site);
+        ScriptedFront s = new ScriptedFront(site);
         s.list("e1");
         s.take("a", "small");
-        s.change(Script.engine("e1", EngineStatus.DRAINING, "plain", 0));
+        s.change(ScriptedFront.engine("e1", EngineStatus.DRAINING, "plain", 0));
         s.end("a", 0, "e1", AttemptStatus.FULL, MS);
         s.pass(100 * MS);
         assertEquals(List.of("send a e1"), s.fresh());
@@ -288,7 +288,7 @@
     @Test
     void anEngineWhoseMemoryIsOvercommittedIsFullThoughItsCoresIdle() {
         site.fronts = FRONTS;
-        Script s = new Script(site);
+        ScriptedFront s = new ScriptedFront(site);
         s.list("e1", "e2");
         s.take("a", "small");
         String jammed = s.engineOf("a");
@@ -304,7 +304,7 @@
     /** Once two thirds of all queries spilt where answers do not tell the memory needed. */
     @Test
     void spillsRaiseTheMemoryGrantedOverEstimatesThatLieTooLow() {
-        Script s = new Script(site);
+        ScriptedFront s = new ScriptedFront(site);
         s.list("e1", "e2");
         for (int i = 0; i < 10; i++) {
             s.takeWithMemory("a" + i, "big", 400);
@@ -320,7 +320,7 @@
     void workThatEarnsNothingLateIsCalledOffPastItsAim() {
         site.cancel = true;
         site.marksRepeats = true;
-        Script s = new Script(site);
+        ScriptedFront s = new ScriptedFront(site);
         s.list("e1", "e2");
         s.take("a", "small");
         assertEquals(600 * MS, s.timeOuts.get("a"));
@@ -330,7 +330,7 @@
 
     @Test
     void aRepeatWhoseClientHasWaitedPastTheAimIsRefusedAtOnce() {
-        Script s = new Script(site);
+        ScriptedFront s = new ScriptedFront(site);
         s.list("e1", "e2");
         s.take("a", "small");
         s.end("a", 0, s.engineOf("a"), AttemptStatus.OK, 100 * MS);
@@ -345,7 +345,7 @@
     void anAttemptWhoseNotesStayAwayIsTriedElsewhere() {
         site.cancel = true;
         site.notePeriod = 500 * MS;
-        Script s = new Script(site);
+        ScriptedFront s = new ScriptedFront(site);
         s.list("e1", "e2");
         s.take("a", "big");
         s.pass(500 * MS);
@@ -364,7 +364,7 @@
     void timeInWhichTheFrontStoodStillIsNoSilence() {
         site.cancel = true;
         site.notePeriod = 500 * MS;
-        Script s = new Script(site);
+        ScriptedFront s = new ScriptedFront(site);
         s.list("e1", "e2");
         s.take("a", "big");
         s.now += 2 * SECOND;
@@ -379,7 +379,7 @@
         site.cancel = true;
         site.effect = RetrySafety.UNSAFE;
         site.notePeriod = 500 * MS;
-        Script s = new Script(site);
+        ScriptedFront s = new ScriptedFront(site);
         s.list("e1");
         s.take("a", "small");
         s.note("a", 0, StatusKind.WAITS_LOAD, 2);
@@ -395,7 +395,7 @@
     @Test
     void aQueryThatStandsBehindALoadIsSentElsewhereOnce() {
         site.cancel = true;
-        Script s = new Script(site);
+        ScriptedFront s = new ScriptedFront(site);
         s.list("e1", "e2");
         s.take("a", "big");
         String held = s.engineOf("a");
@@ -411,7 +411,7 @@
     @Test
     void withoutReportsAnOverloadRefusesSomeAndSendsSome() {
         site.fronts = FRONTS;
-        Script s = new Script(site);
+        ScriptedFront s = new ScriptedFront(site);
         s.list("e1", "e2", "e3");
         for (int i = 0; i < 300; i++) {
             String id = "a" + i;
--- a/src/test/java/cairnline/control/ManyFrontsTest.java
+++ b/src/test/java/cairnline/control/ManyFrontsTest.java
@@ -1,7 +1,7 @@
 package cairnline.control;
 
-import static cairnline.control.Script.MS;
-import static cairnline.control.Script.SECOND;
+import static cairnline.control.ScriptedFront.MS;
+import static cairnline.control.ScriptedFront.SECOND;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -9,7 +9,7 @@
 import cairnline.control.ControlApi.Engine;
 import cairnline.control.ControlApi.EngineStatus;
 import cairnline.control.ControlApi.Load;
-import cairnline.control.Script.Site;
+import cairnline.control.ScriptedFront.Site;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -24,16 +24,16 @@
     private static List<Engine> large(int count) {
         List<Engine> all = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            all.add(Script.engine("e" + i, EngineStatus.READY, "large", 0));
+            all.add(ScriptedFront.engine("e" + i, EngineStatus.READY, "large", 0));
         }
         return all;
     }
 
-    private List<Script> fronts(int count) {
+    private List<ScriptedFront> fronts(int count) {
         site.fronts = count;
-        List<Script> all = new ArrayList<>();
+        List<ScriptedFront> all = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            Script s = new Script(site, 100 * SECOND, 1000 + i);
+            ScriptedFront s = new ScriptedFront(site, 100 * SECOND, 1000 + i);
             s.control.engines(s.now, true, large(ENGINES));
             all.add(s);
         }
@@ -45,7 +45,7 @@
         site.probes = true;
         site.probePrice = 0.075;
         Map<Long, Integer> byTick = new HashMap<>();
-        for (Script s : fronts(fronts)) {
+        for (ScriptedFront s : fronts(fronts)) {
             for (int i = 0; i < 400; i++) {
                 if (i % 2 == 0) {
                     s.take("q" + i, "small");
@@ -84,7 +84,7 @@
     void aLostEngineIsAskedLessAndLessOften() {
         site.probes = true;
         site.notePeriod = SECOND;
-        Script s = new Script(site);
+        ScriptedFront s = new ScriptedFront(site);
         s.list("e1");
         for (int i = 0; i < 8; i++) {
             s.take("a" + i, "small");
@@ -100,7 +100,7 @@
     @Test
     void oneHeavyQueryOutDoesNotMakeAnEngineFull() {
         site.fronts = 14;
-        Script s = new Script(site);
+        ScriptedFront s = new ScriptedFront(site);
         s.control.engines(s.now, true, large(30));
         for (int i = 0; i < 12; i++) {
             s.take("b" + i, "big");
@@ -112,7 +112,7 @@
     @Test
     void aFleetThatIsFullByAllFrontsTogetherGetsNoMore() {
         site.fronts = 14;
-        Script s = new Script(site);
+        ScriptedFront s = new ScriptedFront(site);
         s.control.engines(s.now, true, large(30));
         for (int i = 0; i < 60; i++) {
             s.take("b" + i, "big");
@@ -125,15 +125,15 @@
     @Test
     void whatRunsAtDrainingEnginesDoesNotMakeTheOthersFull() {
         site.fronts = 14;
-        Script s = new Script(site);
+        ScriptedFront s = new ScriptedFront(site);
         s.control.engines(s.now, true, large(30));
         for (int i = 0; i < 12; i++) {
             s.take("b" + i, "big");
         }
         List<Engine> next = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
-            next.add(Script.engine("e" + i, EngineStatus.DRAINING, "large", 0));
-            next.add(Script.engine("f" + i, EngineStatus.READY, "large", 0));
+            next.add(ScriptedFront.engine("e" + i, EngineStatus.DRAINING, "large", 0));
+            next.add(ScriptedFront.engine("f" + i, EngineStatus.READY, "large", 0));
         }
         s.control.engines(s.now, true, next);
         for (int i = 0; i < 12; i++) {
@@ -146,9 +146,9 @@
     @Test
     void frontsThatHearTheSameDoNotAllChooseTheSame() {
         site.probes = true;
-        List<Script> all = fronts(56);
+        List<ScriptedFront> all = fronts(56);
         int idle = 0;
-        for (Script s : all) {
+        for (ScriptedFront s : all) {
             for (int i = 0; i < ENGINES; i++) {
                 double busy = i == 7 ? 0.1 : 0.6;
                 s.control.probed(s.now, "e" + i, true, MS, new Load(busy, 0, i == 7 ? 0 : 14, 0.3, 0.3));
@@ -164,7 +164,7 @@
     void memoryThatSomeEnginesReportAsOvercommittedCountsForAll() {
         site.probes = true;
         site.fronts = 14;
-        Script s = new Script(site);
+        ScriptedFront s = new ScriptedFront(site);
         s.control.engines(s.now, true, large(30));
         for (int round = 0; round < 3; round++) {
             for (int i = 0; i < 20; i++) {
@@ -181,9 +181,9 @@
     @Test
     void aColdEngineCountsByItsCapacityOfTheMoment() {
         for (int seed = 0; seed < 20; seed++) {
-            Script s = new Script(site, 100 * SECOND, seed);
-            s.control.engines(s.now, true, List.of(Script.engine("warm", EngineStatus.READY, "large", 0),
-                    Script.engine("cold", EngineStatus.READY, "large", 95 * SECOND)));
+            ScriptedFront s = new ScriptedFront(site, 100 * SECOND, seed);
+            s.control.engines(s.now, true, List.of(ScriptedFront.engine("warm", EngineStatus.READY, "large", 0),
+                    ScriptedFront.engine("cold", EngineStatus.READY, "large", 95 * SECOND)));
             s.take("a", "small");
             assertEquals("warm", s.engineOf("a"));
         }
@@ -192,7 +192,7 @@
     @Test
     void warmthGrowsFromTheColdShareToAllAndNeverWhereTheStartIsUnknown() {
         ControlApi.SafetyRules rules = site.settings().rules();
-        EngineState known = new EngineState(Script.engine("e", EngineStatus.READY, "large", 100 * SECOND), null);
+        EngineState known = new EngineState(ScriptedFront.engine("e", EngineStatus.READY, "large", 100 * SECOND), null);
         known.coldSince = 100 * SECOND;
         assertEquals(0.4, known.warmth(rules, 100 * SECOND), 1e-9);
         assertEquals(0.4 + 0.6 * 0.25, known.warmth(rules, 105 * SECOND), 1e-9);
--- a/src/test/java/cairnline/control/PlacementTest.java
+++ b/src/test/java/cairnline/control/PlacementTest.java
@@ -1,13 +1,13 @@
 package cairnline.control;
 
-import static cairnline.control.Script.SECOND;
+import static cairnline.control.ScriptedFront.SECOND;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cairnline.control.ControlApi.Engine;
 import cairnline.control.ControlApi.EngineStatus;
 import cairnline.control.ControlApi.Request;
-import cairnline.control.Script.Site;
+import cairnline.control.ScriptedFront.Site;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.Comparator;
@@ -61,10 +61,10 @@
     }
 
     /** A front that has all engines listed. */
-    private static Script front(Site site, int seed) {
-        Script s = new Script(site, 100 * SECOND, seed);
+    private static ScriptedFront front(Site site, int seed) {
+        ScriptedFront s = new ScriptedFront(site, 100 * SECOND, seed);
         s.control.engines(s.now, true,
-                ids(ENGINES).stream().map(id -> Script.engine(id, EngineStatus.READY, "large", 0)).toList());
+                ids(ENGINES).stream().map(id -> ScriptedFront.engine(id, EngineStatus.READY, "large", 0)).toList());
         return s;
     }
 
@@ -73,7 +73,7 @@
         site.fronts = FRONTS;
         Set<String> used = new HashSet<>();
         for (int f = 0; f < FRONTS; f++) {
-            Script s = front(site, 70 + f);
+            ScriptedFront s = front(site, 70 + f);
             for (int i = 0; i < each; i++) {
                 s.control.request(s.now, new Request("q" + i, type, "one", false, 0, 3 * SECOND, 0, 0, 5, false));
                 used.add(s.engineOf("q" + i));
@@ -104,7 +104,7 @@
     void aHotGroupSpillsToTheNextEngines() {
         Site site = new Site();
         site.fronts = FRONTS;
-        Script s = front(site, 3);
+        ScriptedFront s = front(site, 3);
         Map<String, Integer> sent = new HashMap<>();
         for (int i = 0; i < 120; i++) {
             s.control.request(s.now, new Request("q" + i, "small", "one", false, 0, 3 * SECOND, 0, 0, 5, false));
@@ -122,7 +122,7 @@
         site.fronts = 100;
         Map<String, Integer> sent = new HashMap<>();
         for (int f = 0; f < site.fronts; f++) {
-            Script s = front(site, 500 + f);
+            ScriptedFront s = front(site, 500 + f);
             s.control.request(s.now, new Request("q", "small", "one", false, 0, 3 * SECOND, 0, 0, 5, false));
             sent.merge(s.engineOf("q"), 1, Integer::sum);
         }
--- a/src/test/java/cairnline/control/RulesTest.java
+++ b/src/test/java/cairnline/control/RulesTest.java
@@ -1,7 +1,7 @@
 package cairnline.control;
 
-import static cairnline.control.Script.MS;
-import static cairnline.control.Script.SECOND;
+import static cairnline.control.ScriptedFront.MS;
+import static cairnline.control.ScriptedFront.SECOND;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -12,7 +12,7 @@
 import cairnline.control.ControlApi.EngineStatus;
 import cairnline.control.ControlApi.Request;
 import cairnline.control.ControlApi.DeduplicationScope;
-import cairnline.control.Script.Site;
+import cairnline.control.ScriptedFront.Site;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
@@ -22,7 +22,7 @@
 
     @Test
     void aHeldRequestIsAnsweredOnceBeforeItsTimeIsUp() {
-        Script s = new Script(site);
+        ScriptedFront s = new ScriptedFront(site);
         s.list();
         s.take("a", "small");
         assertEquals(List.of(), s.fresh());
@@ -32,7 +32,7 @@
 
     @Test
     void aTimeoutAtTheDeadlineIsFailedOnce() {
-        Script s = new Script(site);
+        ScriptedFront s = new ScriptedFront(site);
         s.list("e1");
         s.take("a", "small");
         s.pass(3 * SECOND);
@@ -44,7 +44,7 @@
 
     @Test
     void nothingIsSentForARequestWhoseClientHasLeft() {
-        Script s = new Script(site);
+        ScriptedFront s = new ScriptedFront(site);
         s.list("e1");
         s.take("a", "small");
         s.fresh();
@@ -55,7 +55,7 @@
 
     @Test
     void aSafeRequestIsTriedElsewhereAfterAnError() {
-        Script s = new Script(site);
+        ScriptedFront s = new ScriptedFront(site);
         s.list("e1", "e2");
         s.take("a", "small");
         String first = s.engineOf("a");
@@ -67,7 +67,7 @@
     @Test
     void noSecondAttemptGoesOutWhileACancelledOneHasNoOutcome() {
         site.cancel = true;
-        Script s = new Script(site);
+        ScriptedFront s = new ScriptedFront(site);
         s.list("e1", "e2");
         s.take("a", "big");
         s.pass(14 * SECOND);
@@ -81,7 +81,7 @@
     @Test
     void attemptsStayWithinTheLimit() {
         site.attempts = 2;
-        Script s = new Script(site);
+        ScriptedFront s = new ScriptedFront(site);
         s.list("e1", "e2", "e3");
         s.take("a", "small");
         s.end("a", 0, s.engineOf("a"), AttemptStatus.ERROR, MS);
@@ -93,7 +93,7 @@
     @Test
     void furtherAttemptsStayWithinTheBudgetOfTheWindow() {
         site.spare = 1;
-        Script s = new Script(site);
+        ScriptedFront s = new ScriptedFront(site);
         s.list("e1", "e2", "e3");
         for (String id : List.of("a", "b")) {
             s.take(id, "small");
@@ -111,7 +111,7 @@
     @Test
     void anUnsafeRequestThatMayHaveRunIsFailedAndNotRepeated() {
         site.effect = RetrySafety.UNSAFE;
-        Script s = new Script(site);
+        ScriptedFront s = new ScriptedFront(site);
         s.list("e1", "e2");
         s.take("a", "small");
         s.end("a", 0, s.engineOf("a"), AttemptStatus.RESET, MS);
@@ -122,7 +122,7 @@
     @Test
     void anUnsafeRequestThatNeverRanIsSentAgain() {
         site.effect = RetrySafety.UNSAFE;
-        Script s = new Script(site);
+        ScriptedFront s = new ScriptedFront(site);
         s.list("e1", "e2");
         s.take("a", "small");
         s.end("a", 0, s.engineOf("a"), AttemptStatus.FULL, MS);
@@ -133,7 +133,7 @@
     void aKeyedRequestIsRepeatedOnlyInsideItsWindow() {
         site.effect = RetrySafety.KEYED;
         site.window = SECOND / 2;
-        Script s = new Script(site);
+        ScriptedFront s = new ScriptedFront(site);
         s.list("e1", "e2");
         s.take("a", "small");
         s.end("a", 0, s.engineOf("a"), AttemptStatus.ERROR, MS);
@@ -148,22 +148,22 @@
     void aKeyedRequestOfOneCellIsNeverRefusedOnceItMayHaveRun() {
         site.effect = RetrySafety.KEYED;
         site.scope = DeduplicationScope.CELL;
-        Script s = new Script(site);
+        ScriptedFront s = new ScriptedFront(site);
         s.list("e1");
         s.take("a", "small");
-        s.change(Script.engine("e1", EngineStatus.REMOVED, "plain", 0));
+        s.change(ScriptedFront.engine("e1", EngineStatus.REMOVED, "plain", 0));
         s.end("a", 0, "e1", AttemptStatus.RESET, MS);
         assertEquals(List.of("send a e1", "fail a"), s.fresh());
     }
 
     @Test
     void nothingNewGoesToADrainingOrGoneEngine() {
-        Script s = new Script(site);
+        ScriptedFront s = new ScriptedFront(site);
         s.list("e1");
-        s.change(Script.engine("e1", EngineStatus.DRAINING, "plain", 0));
+        s.change(ScriptedFront.engine("e1", EngineStatus.DRAINING, "plain", 0));
         s.take("a", "small");
         s.pass(SECOND);
-        s.change(Script.engine("e1", EngineStatus.REMOVED, "plain", 0));
+        s.change(ScriptedFront.engine("e1", EngineStatus.REMOVED, "plain", 0));
         s.take("b", "small");
         s.pass(4 * SECOND);
         assertEquals(0, s.count("send"));
@@ -172,7 +172,7 @@
 
     @Test
     void anEngineMissingFromACompleteListIsGone() {
-        Script s = new Script(site);
+        ScriptedFront s = new ScriptedFront(site);
         s.list("e1", "e2");
         s.list("e2");
         s.take("a", "small");
@@ -183,7 +183,7 @@
     @Test
     void placementHoldsEvenWhenAllAllowedEnginesAreGone() {
         site.kinds = List.of("large");
-        Script s = new Script(site);
+        ScriptedFront s = new ScriptedFront(site);
         s.list("e1", "e2");
         s.take("a", "small");
         s.pass(4 * SECOND);
@@ -194,7 +194,7 @@
     void requestsOfOneKeyRunInTurnAndRestAfterADoubtfulEnd() {
         site.serial = true;
         site.effect = RetrySafety.KEYED;
-        Script s = new Script(site);
+        ScriptedFront s = new ScriptedFront(site);
         s.list("e1", "e2");
         s.takeKeyed("a", 7);
         s.takeKeyed("b", 7);
@@ -214,7 +214,7 @@
     void aRefusedHeadLetsTheNextOfItsKeyGo() {
         site.serial = true;
         site.effect = RetrySafety.KEYED;
-        Script s = new Script(site);
+        ScriptedFront s = new ScriptedFront(site);
         s.list();
         s.takeKeyed("a", 7);
         s.pass(2900 * MS);
@@ -228,8 +228,8 @@
     @Test
     void aColdEngineIsSentNoMoreThanItsShareInAnyWindow() {
         site.fronts = 2;
-        Script s = new Script(site);
-        s.change(Script.engine("e1", EngineStatus.READY, "plain", s.now));
+        ScriptedFront s = new ScriptedFront(site);
+        s.change(ScriptedFront.engine("e1", EngineStatus.READY, "plain", s.now));
         for (int i = 0; i < 200; i++) {
             s.take("a" + i, "big");
             s.pass(5 * MS);
@@ -240,8 +240,8 @@
 
     @Test
     void aFrontThatHasJustStartedSparesEnginesThatStartedBeforeIt() {
-        Script s = new Script(site);
-        s.change(Script.engine("e1", EngineStatus.READY, "plain", s.now - SECOND));
+        ScriptedFront s = new ScriptedFront(site);
+        s.change(ScriptedFront.engine("e1", EngineStatus.READY, "plain", s.now - SECOND));
         s.take("a", "small");
         s.pass(1900 * MS);
         assertEquals(0, s.count("send"));
@@ -255,7 +255,7 @@
     void aHopelessRequestBehindItsKeyIsAnsweredAtOnce() {
         site.serial = true;
         site.effect = RetrySafety.UNSAFE;
-        Script s = new Script(site);
+        ScriptedFront s = new ScriptedFront(site);
         s.list("e1", "e2");
         for (int i = 0; i < 40; i++) {
             s.take("w" + i, "small");
@@ -273,7 +273,7 @@
         site.effect = RetrySafety.UNSAFE;
         site.cancel = true;
         for (AttemptStatus end : List.of(AttemptStatus.ERROR, AttemptStatus.TIMEOUT, AttemptStatus.RESET, AttemptStatus.CANCELLED)) {
-            Script s = new Script(site);
+            ScriptedFront s = new ScriptedFront(site);
             s.list("e1", "e2");
             s.take("a", "small");
             s.fresh();
@@ -287,7 +287,7 @@
     void theRationHoldsAtTheEdgesOfItsWindow() {
         site.spare = 0;
         site.perRequest = 0.5;
-        Script s = new Script(site);
+        ScriptedFront s = new ScriptedFront(site);
         s.list("e1", "e2", "e3");
         s.take("a", "small");
         s.take("b", "small");
@@ -303,12 +303,12 @@
         site.serial = true;
         site.effect = RetrySafety.UNSAFE;
         site.fronts = 2;
-        Script s = new Script(site);
+        ScriptedFront s = new ScriptedFront(site);
         s.list("e1", "e2");
         s.takeKeyed("k0", 7);
         s.now += 2 * SECOND;
-        s.change(Script.engine("e1", EngineStatus.DRAINING, "plain", 0));
-        s.change(Script.engine("e2", EngineStatus.READY, "plain", s.now));
+        s.change(ScriptedFront.engine("e1", EngineStatus.DRAINING, "plain", 0));
+        s.change(ScriptedFront.engine("e2", EngineStatus.READY, "plain", s.now));
         s.fresh();
         s.takeKeyed("k1", 7);
         for (int i = 0; i < 60; i++) {
@@ -328,15 +328,15 @@
     void anEngineWhoseStartIsNotKnownIsTakenForColdUntilItMustBeWarm() {
         long[] sent = new long[2];
         for (int sure = 0; sure < 2; sure++) {
-            Script.Site site = new Script.Site();
-            Script script = new Script(site);
+            ScriptedFront.Site site = new ScriptedFront.Site();
+            ScriptedFront script = new ScriptedFront(site);
             long start = script.now;
             script.change(new Engine("e", EngineStatus.READY, "north", "plain", 0, 1, start, sure == 1));
             // In one window near the end of the time to warm up, far more is asked than a cold engine may get.
-            script.now = start + 9 * Script.SECOND;
+            script.now = start + 9 * ScriptedFront.SECOND;
             for (int i = 0; i < 100; i++) {
-                script.control.request(script.now, new Request("q" + i, "small", "one", false, 0, 3 * Script.SECOND,
-                        500 * Script.MS, 0, -1, false));
+                script.control.request(script.now, new Request("q" + i, "small", "one", false, 0, 3 * ScriptedFront.SECOND,
+                        500 * ScriptedFront.MS, 0, -1, false));
             }
             sent[sure] = script.count("send");
         }
@@ -346,14 +346,14 @@
     /** A query too large for the part of one window goes alone: all fronts' together stay within the rule's half. */
     @Test
     void aLargeQueryGoesToAColdEngineOnlyWhileNoMoreIsSentThanAllFrontsMay() {
-        Script.Site site = new Script.Site();
+        ScriptedFront.Site site = new ScriptedFront.Site();
         site.coldFrom = 0.8;
-        Script script = new Script(site);
+        ScriptedFront script = new ScriptedFront(site);
         script.change(new Engine("e", EngineStatus.READY, "north", "plain", 0, 1, script.now, false));
         double bound = 0.5 * 2 * 0.8 * 8 * 2;
         for (int i = 0; i < 20; i++) {
-            script.control.request(script.now, new Request("b" + i, "big", "one", false, 0, 15 * Script.SECOND,
-                    5 * Script.SECOND, 0, -1, false));
+            script.control.request(script.now, new Request("b" + i, "big", "one", false, 0, 15 * ScriptedFront.SECOND,
+                    5 * ScriptedFront.SECOND, 0, -1, false));
         }
         // Each counts as 6 s at least: what is usual for its class before any has been heard of.
         assertTrue(script.count("send") >= 1 && script.count("send") * 6.0 <= bound, script.count("send") + " sent");
--- a/src/test/java/cairnline/control/Script.java
+++ b/src/test/java/cairnline/control/ScriptedFront.java
@@ -25,7 +25,7 @@
 import java.util.Map;
 
 /** Drives one instance by scripted events and records its actions as lines of text. */
-final class Script implements Actions {
+final class ScriptedFront implements Actions {
     static final long MS = 1_000_000L;
     static final long SECOND = 1_000 * MS;
 
@@ -78,16 +78,16 @@
     int wakes;
     private int read;
 
-    Script(Site site, long now, long seed) {
+    ScriptedFront(Site site, long now, long seed) {
         this.now = now;
         control = new Control(site.settings(), seed, now, this);
     }
 
-    Script(Site site, long now) {
+    ScriptedFront(Site site, long now) {
         this(site, now, 42);
     }
 
-    Script(Site site) {
+    ScriptedFront(Site site) {
         this(site, 100 * SECOND);
     }
 
