--- a/src/test/java/cairnline/control/DecisionsTest.java
+++ b/src/test/java/cairnline/control/DecisionsTest.java
@@ -10,14 +10,14 @@
 import cairnline.control.ControlApi.AttemptStatus;
 import cairnline.control.ControlApi.Load;
 import cairnline.control.ControlApi.Outcome;
-import cairnline.control.ScriptedFront.Site;
+import cairnline.control.ScriptedFront.TestSettings;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
 /** The ordinary path and its defences, driven by scripted events. */
 class DecisionsTest {
-    private final Site site = new Site();
+    private final TestSettings site = new TestSettings();
 
     /** Serves one query from send to success. */
     private static void serve(ScriptedFront s, String id, String type, long rtt) {
--- a/src/test/java/cairnline/control/EmbeddingTest.java
+++ b/src/test/java/cairnline/control/EmbeddingTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import cairnline.control.ScriptedFront.Site;
+import cairnline.control.ScriptedFront.TestSettings;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
@@ -10,7 +10,7 @@
 class EmbeddingTest {
     @Test
     void aFrontOfAFewLines() {
-        ScriptedFront front = new ScriptedFront(new Site());
+        ScriptedFront front = new ScriptedFront(new TestSettings());
         front.list("engine-1");
         front.take("query-1", "small");
         assertEquals(List.of("send query-1 engine-1"), front.fresh());
--- a/src/test/java/cairnline/control/FleetTest.java
+++ b/src/test/java/cairnline/control/FleetTest.java
@@ -13,7 +13,7 @@
 import cairnline.control.ControlApi.Load;
 import cairnline.control.ControlApi.StatusKind;
 import cairnline.control.ControlApi.Outcome;
-import cairnline.control.ScriptedFront.Site;
+import cairnline.control.ScriptedFront.TestSettings;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -25,7 +25,7 @@
 class FleetTest {
     private static final int FRONTS = 300;
     private static final int ENGINES = 60;
-    private final Site site = new Site();
+    private final TestSettings site = new TestSettings();
 
     private List<ScriptedFront> fronts() {
         site.fronts = FRONTS;
--- a/src/test/java/cairnline/control/ManyFrontsTest.java
+++ b/src/test/java/cairnline/control/ManyFrontsTest.java
@@ -9,7 +9,7 @@
 import cairnline.control.ControlApi.Engine;
 import cairnline.control.ControlApi.EngineStatus;
 import cairnline.control.ControlApi.Load;
-import cairnline.control.ScriptedFront.Site;
+import cairnline.control.ScriptedFront.TestSettings;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -19,7 +19,7 @@
 /** What is harmless in one front and harmful when all do it. */
 class ManyFrontsTest {
     private static final int ENGINES = 60;
-    private final Site site = new Site();
+    private final TestSettings site = new TestSettings();
 
     private static List<Engine> large(int count) {
         List<Engine> all = new ArrayList<>();
--- a/src/test/java/cairnline/control/PlacementTest.java
+++ b/src/test/java/cairnline/control/PlacementTest.java
@@ -7,7 +7,7 @@
 import cairnline.control.ControlApi.Engine;
 import cairnline.control.ControlApi.EngineStatus;
 import cairnline.control.ControlApi.Request;
-import cairnline.control.ScriptedFront.Site;
+import cairnline.control.ScriptedFront.TestSettings;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.Comparator;
@@ -61,7 +61,7 @@
     }
 
     /** A front that has all engines listed. */
-    private static ScriptedFront front(Site site, int seed) {
+    private static ScriptedFront front(TestSettings site, int seed) {
         ScriptedFront s = new ScriptedFront(site, 100 * SECOND, seed);
         s.control.engines(s.now, true,
                 ids(ENGINES).stream().map(id -> ScriptedFront.engine(id, EngineStatus.READY, "large", 0)).toList());
@@ -69,7 +69,7 @@
     }
 
     /** Engines that get a group's requests of this class from all fronts, each of which sends this many. */
-    private static Set<String> used(Site site, String type, int each) {
+    private static Set<String> used(TestSettings site, String type, int each) {
         site.fronts = FRONTS;
         Set<String> used = new HashSet<>();
         for (int f = 0; f < FRONTS; f++) {
@@ -85,13 +85,13 @@
     /** Each front once spread each group over all engines: none stayed warm for it. */
     @Test
     void aGroupsQueriesOfAllFrontsMeetOnAFewEngines() {
-        Set<String> used = used(new Site(), "small", 1);
+        Set<String> used = used(new TestSettings(), "small", 1);
         assertTrue(used.size() <= 3 && firstThree(ids(ENGINES), 5).containsAll(used), "engines: " + used);
     }
 
     @Test
     void aGroupsLoadsKeepAwayFromItsQueriesAndFromEachOther() {
-        Site site = new Site();
+        TestSettings site = new TestSettings();
         site.bigHolds = true;
         Set<String> used = used(site, "big", 2);
         assertTrue(used.size() >= 14, "engines with its loads: " + used.size());
@@ -102,7 +102,7 @@
     /** A hot group must not jam its engines while others have room. */
     @Test
     void aHotGroupSpillsToTheNextEngines() {
-        Site site = new Site();
+        TestSettings site = new TestSettings();
         site.fronts = FRONTS;
         ScriptedFront s = front(site, 3);
         Map<String, Integer> sent = new HashMap<>();
@@ -118,7 +118,7 @@
     /** A hundred fronts, none of which hears enough to see it, once sent all queries of a hot group to one engine. */
     @Test
     void aHundredFrontsSpreadAHotGroup() {
-        Site site = new Site();
+        TestSettings site = new TestSettings();
         site.fronts = 100;
         Map<String, Integer> sent = new HashMap<>();
         for (int f = 0; f < site.fronts; f++) {
--- a/src/test/java/cairnline/control/RulesTest.java
+++ b/src/test/java/cairnline/control/RulesTest.java
@@ -12,13 +12,13 @@
 import cairnline.control.ControlApi.EngineStatus;
 import cairnline.control.ControlApi.Request;
 import cairnline.control.ControlApi.DeduplicationScope;
-import cairnline.control.ScriptedFront.Site;
+import cairnline.control.ScriptedFront.TestSettings;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
 /** The rules, driven by scripted events. */
 class RulesTest {
-    private final Site site = new Site();
+    private final TestSettings site = new TestSettings();
 
     @Test
     void aHeldRequestIsAnsweredOnceBeforeItsTimeIsUp() {
@@ -328,7 +328,7 @@
     void anEngineWhoseStartIsNotKnownIsTakenForColdUntilItMustBeWarm() {
         long[] sent = new long[2];
         for (int sure = 0; sure < 2; sure++) {
-            ScriptedFront.Site site = new ScriptedFront.Site();
+            ScriptedFront.TestSettings site = new ScriptedFront.TestSettings();
             ScriptedFront script = new ScriptedFront(site);
             long start = script.now;
             script.change(new Engine("e", EngineStatus.READY, "north", "plain", 0, 1, start, sure == 1));
@@ -346,7 +346,7 @@
     /** A query too large for the part of one window goes alone: all fronts' together stay within the rule's half. */
     @Test
     void aLargeQueryGoesToAColdEngineOnlyWhileNoMoreIsSentThanAllFrontsMay() {
-        ScriptedFront.Site site = new ScriptedFront.Site();
+        ScriptedFront.TestSettings site = new ScriptedFront.TestSettings();
         site.coldFrom = 0.8;
         ScriptedFront script = new ScriptedFront(site);
         script.change(new Engine("e", EngineStatus.READY, "north", "plain", 0, 1, script.now, false));
--- a/src/test/java/cairnline/control/ScriptedFront.java
+++ b/src/test/java/cairnline/control/ScriptedFront.java
@@ -30,7 +30,7 @@
     static final long SECOND = 1_000 * MS;
 
     /** Settings that tests change one by one. */
-    static final class Site {
+    static final class TestSettings {
         int fronts = 1;
         int attempts = 3;
         boolean cancel;
@@ -78,16 +78,16 @@
     int wakes;
     private int read;
 
-    ScriptedFront(Site site, long now, long seed) {
+    ScriptedFront(TestSettings site, long now, long seed) {
         this.now = now;
         control = new Control(site.settings(), seed, now, this);
     }
 
-    ScriptedFront(Site site, long now) {
+    ScriptedFront(TestSettings site, long now) {
         this(site, now, 42);
     }
 
-    ScriptedFront(Site site) {
+    ScriptedFront(TestSettings site) {
         this(site, 100 * SECOND);
     }
 
