--- a/src/main/java/cairnline/control/Control.java
+++ b/src/main/java/cairnline/control/Control.java
@@ -779,7 +779,7 @@
         for (Engine e : entries) {
             EngineEstimate h = hosts.get(e.id());
             if (h == null) {
-                if (e.listed() == EngineStatus.REMOVED) {
+                if (e.status() == EngineStatus.REMOVED) {
                     continue;
                 }
                 h = new EngineEstimate(e, settings, fleets.computeIfAbsent(e.kind(),
@@ -788,7 +788,7 @@
                 h.probeAt = probes.first(now, hosts.size());
                 ranked.add(h);
             }
-            h.listed = e.listed();
+            h.listed = e.status();
             h.sure = e.sure();
             if (e.startedAt() > h.startedAt) {
                 h.restarted(e.startedAt());
--- a/src/main/java/cairnline/membership/Member.java
+++ b/src/main/java/cairnline/membership/Member.java
@@ -20,7 +20,7 @@
     static final long FINENESS = 1_000_000;
 
     static Member told(ListedEngine engine, long now, Member before) {
-        return new Member(engine, State.told(engine.listed()), new Trust(Trust.MOST), now,
+        return new Member(engine, State.told(engine.status()), new Trust(Trust.MOST), now,
                 before == null ? 0 : before.aliveAt, 0, null);
     }
 
@@ -63,8 +63,8 @@
      * it was first seen alive, at the latest: the module's guard of cold engines does the rest.
      */
     ListedEngine offer() {
-        boolean offered = engine.listed() == EngineStatus.READY && state.isOffered();
-        EngineStatus listed = engine.listed() == EngineStatus.READY && !offered ? EngineStatus.DRAINING : engine.listed();
+        boolean offered = engine.status() == EngineStatus.READY && state.isOffered();
+        EngineStatus listed = engine.status() == EngineStatus.READY && !offered ? EngineStatus.DRAINING : engine.status();
         long startedAt = state == State.ALIVE || state == State.PROVEN ? Math.max(aliveSince, engine.startedAt())
                 : engine.startedAt();
         return new ListedEngine(engine.id(), engine.address(), listed, engine.zone(), engine.kind(), engine.cell(),
--- a/src/main/java/cairnline/membership/Membership.java
+++ b/src/main/java/cairnline/membership/Membership.java
@@ -67,8 +67,8 @@
         }
         for (ListedEngine entry : entries) {
             Member before = members.get(entry.id());
-            urgent |= entry.listed() != EngineStatus.READY && before != null && before.engine().listed() == EngineStatus.READY;
-            if (entry.listed() == EngineStatus.REMOVED) {
+            urgent |= entry.status() != EngineStatus.READY && before != null && before.engine().status() == EngineStatus.READY;
+            if (entry.status() == EngineStatus.REMOVED) {
                 remove(entry.id());
             } else {
                 put(Member.told(entry, now, before), now);
@@ -83,7 +83,7 @@
             return;
         }
         Set<String> addresses = new HashSet<>();
-        entries.stream().filter(e -> e.listed() != EngineStatus.REMOVED).forEach(e -> addresses.add(e.address()));
+        entries.stream().filter(e -> e.status() != EngineStatus.REMOVED).forEach(e -> addresses.add(e.address()));
         for (Member m : List.copyOf(members.values())) {
             if (m.state().isUntold() && !named.contains(m.engine().id()) && addresses.contains(m.engine().address())) {
                 all.add(m.gone().engine());
--- a/src/main/java/cairnline/routing/EngineRegistry.java
+++ b/src/main/java/cairnline/routing/EngineRegistry.java
@@ -76,7 +76,7 @@
         }
         if (known != null) {
             become(now, known, engine);
-        } else if (engine.listed() != EngineStatus.REMOVED) {
+        } else if (engine.status() != EngineStatus.REMOVED) {
             Entry entry = new Entry(engine, links.apply(engine));
             entries.put(engine.id(), entry);
             become(now, entry, engine);
@@ -84,12 +84,12 @@
     }
 
     private void become(long now, Entry entry, ListedEngine engine) {
-        boolean wasReady = entry.listed.listed() == EngineStatus.READY;
+        boolean wasReady = entry.listed.status() == EngineStatus.READY;
         if (engine.startedAt() > entry.listed.startedAt()) {
             entry.link.renew();
         }
         entry.listed = engine;
-        if (engine.listed() == EngineStatus.READY) {
+        if (engine.status() == EngineStatus.READY) {
             entry.link.lastSend(Long.MAX_VALUE);
         } else if (wasReady) {
             entry.link.lastSend(now + drainGrace);
@@ -98,7 +98,7 @@
     }
 
     private void closeIfGone(Entry entry) {
-        if (entry.listed.listed() == EngineStatus.REMOVED && entry.attemptsOut == 0 && entries.remove(entry.listed.id(), entry)) {
+        if (entry.listed.status() == EngineStatus.REMOVED && entry.attemptsOut == 0 && entries.remove(entry.listed.id(), entry)) {
             entry.link.close();
         }
     }
--- a/src/main/java/cairnline/store/SnapshotCodec.java
+++ b/src/main/java/cairnline/store/SnapshotCodec.java
@@ -76,7 +76,7 @@
             out.putShort((short) text.length).put(text);
         }
         ListedEngine e = each.engine();
-        out.put((byte) e.listed().ordinal()).put((byte) each.last().ordinal());
+        out.put((byte) e.status().ordinal()).put((byte) each.last().ordinal());
         out.putInt(e.cell()).putDouble(e.size());
         out.putLong(e.startedAt()).putLong(each.toldAt()).putLong(each.aliveAt());
     }
--- a/src/test/java/cairnline/membership/MembershipTest.java
+++ b/src/test/java/cairnline/membership/MembershipTest.java
@@ -45,7 +45,7 @@
     }
 
     private EngineStatus offered(String id) {
-        return membership.offer(engine(id, EngineStatus.REMOVED)).listed();
+        return membership.offer(engine(id, EngineStatus.REMOVED)).status();
     }
 
     @Test
@@ -66,7 +66,7 @@
         assertEquals(EngineStatus.DRAINING, offered("e1"));
         assertEquals(List.of("e1"), asked(NOW));
         ListedEngine offer = membership.seen(NOW + 3 * MS, "e1", Evidence.PROBE_ANSWERED);
-        assertEquals(EngineStatus.READY, offer.listed());
+        assertEquals(EngineStatus.READY, offer.status());
         assertEquals(NOW + 3 * MS, offer.startedAt(), "it may be as cold as one that started when it was first seen");
         assertTrue(!offer.sure(), "and may be the last to warm up");
         assertNull(membership.seen(NOW + 4 * MS, "e1", Evidence.WORK_SERVED), "nothing new to tell the module");
@@ -208,7 +208,7 @@
                 0, 1, 0);
         List<ListedEngine> entries = membership.told(NOW, false, List.of(next));
         assertEquals(List.of("n1", "e1"), entries.stream().map(ListedEngine::id).toList());
-        assertEquals(EngineStatus.REMOVED, entries.get(1).listed());
+        assertEquals(EngineStatus.REMOVED, entries.get(1).status());
         assertNull(membership.state("e1"));
         assertEquals(State.REMEMBERED, membership.state("e2"));
     }
