--- a/src/main/java/cairnline/membership/ListedEngine.java
+++ b/src/main/java/cairnline/membership/ListedEngine.java
@@ -6,17 +6,17 @@
  * An engine as the list has it; {@code startedAt} is 0 for long ago. Unless {@code sure}, that is only when it was first
  * seen: it may be as cold as one that starts then.
  */
-public record ListedEngine(String id, String address, EngineStatus listed, String zone, String kind, int cell, double size,
+public record ListedEngine(String id, String address, EngineStatus status, String zone, String kind, int cell, double size,
                            long startedAt, boolean sure) {
     /** One whose start is known. */
-    public ListedEngine(String id, String address, EngineStatus listed, String zone, String kind, int cell, double size,
+    public ListedEngine(String id, String address, EngineStatus status, String zone, String kind, int cell, double size,
                         long startedAt) {
-        this(id, address, listed, zone, kind, cell, size, startedAt, true);
+        this(id, address, status, zone, kind, cell, size, startedAt, true);
     }
 
     /** The same engine with another start. */
     ListedEngine startedAt(long at) {
-        return new ListedEngine(id, address, listed, zone, kind, cell, size, at, sure);
+        return new ListedEngine(id, address, status, zone, kind, cell, size, at, sure);
     }
 
     /** The same engine, listed otherwise. */
