--- a/src/main/java/cairnline/control/Control.java
+++ b/src/main/java/cairnline/control/Control.java
@@ -789,7 +789,7 @@
                 ranked.add(h);
             }
             h.listed = e.status();
-            h.sure = e.sure();
+            h.sure = e.startTimeKnown();
             if (e.startedAt() > h.startedAt) {
                 h.restarted(e.startedAt());
             }
--- a/src/main/java/cairnline/routing/Clock.java
+++ b/src/main/java/cairnline/routing/Clock.java
@@ -47,6 +47,6 @@
     /** An engine as the module is told of it. */
     static ControlApi.Engine toModule(ListedEngine e) {
         return new ControlApi.Engine(e.id(), e.status(), e.zone(), e.kind(), e.cell(), e.size(),
-                toModule(e.startedAt()), e.sure());
+                toModule(e.startedAt()), e.startTimeKnown());
     }
 }
--- a/src/test/java/cairnline/membership/MembershipTest.java
+++ b/src/test/java/cairnline/membership/MembershipTest.java
@@ -68,7 +68,7 @@
         ListedEngine offer = membership.seen(NOW + 3 * MS, "e1", Evidence.PROBE_ANSWERED);
         assertEquals(EngineStatus.READY, offer.status());
         assertEquals(NOW + 3 * MS, offer.startedAt(), "it may be as cold as one that started when it was first seen");
-        assertTrue(!offer.sure(), "and may be the last to warm up");
+        assertTrue(!offer.startTimeKnown(), "and may be the last to warm up");
         assertNull(membership.seen(NOW + 4 * MS, "e1", Evidence.WORK_SERVED), "nothing new to tell the module");
         assertTrue(membership.turn(NOW + 3 * MS + WARM).isEmpty());
         assertEquals(State.PROVEN, membership.state("e1"));
