--- a/src/main/java/cairnline/control/Control.java
+++ b/src/main/java/cairnline/control/Control.java
@@ -114,7 +114,7 @@
         this.sample = Math.max(SAMPLE_LEAST, (int) Math.round((double) SAMPLE_ALL / settings.fronts()));
         this.probes = new ProbeBudget(settings.probePrice(), now, random.split());
         this.now = now;
-        for (RequestClassSettings type : settings.types()) {
+        for (RequestClassSettings type : settings.requestClasses()) {
             kinds.put(type.name(), new RequestClass(type, kinds.size()));
         }
         settings.tenants().forEach(tenant -> shares.put(tenant.name(), tenant.share()));
@@ -288,7 +288,7 @@
 
     /** Loads go before others only where these wait for them: else they take the time of what earns more. */
     private int priority(RequestClass kin) {
-        boolean awaited = kin.type.holdsTables() && settings.types().stream().anyMatch(RequestClassSettings::waitsForHolder);
+        boolean awaited = kin.type.holdsTables() && settings.requestClasses().stream().anyMatch(RequestClassSettings::waitsForHolder);
         return awaited ? PRIORITY_HOLDER : light(kin) ? PRIORITY_LIGHT : PRIORITY_USUAL;
     }
 
--- a/src/main/java/cairnline/control/EngineEstimate.java
+++ b/src/main/java/cairnline/control/EngineEstimate.java
@@ -40,7 +40,7 @@
         super(e, settings.kinds().get(e.kind()));
         this.fleet = fleet;
         this.share = 1.0 / settings.fronts();
-        settings.types().forEach(type -> predictors.add(new Predictor()));
+        settings.requestClasses().forEach(type -> predictors.add(new Predictor()));
     }
 
     void restarted(long at) {
--- a/src/main/java/cairnline/program/Configuration.java
+++ b/src/main/java/cairnline/program/Configuration.java
@@ -59,7 +59,7 @@
         known = events(held);
         Fields fields = Fields.of(flat(object(root, "settings")));
         settings = settings(fields);
-        long longestDeadline = settings.types().stream().mapToLong(type -> type.deadline()).max().orElse(0);
+        long longestDeadline = settings.requestClasses().stream().mapToLong(type -> type.deadline()).max().orElse(0);
         limits = limits(root, fields, longestDeadline / NANOS_PER_MICRO);
     }
 
@@ -120,14 +120,14 @@
     /** How long a client of each class waits at most, in microseconds. */
     Map<String, Long> patience() {
         Map<String, Long> patience = new HashMap<>();
-        settings.types().forEach(type -> patience.put(type.name(), type.deadline() / NANOS_PER_MICRO));
+        settings.requestClasses().forEach(type -> patience.put(type.name(), type.deadline() / NANOS_PER_MICRO));
         return patience;
     }
 
     /** What the requests of each class must carry. */
     Map<String, ClassRules> classes() {
         Map<String, ClassRules> classes = new HashMap<>();
-        settings.types().forEach(type ->
+        settings.requestClasses().forEach(type ->
                 classes.put(type.name(), new ClassRules(type.effect() == RetrySafety.KEYED, type.serial())));
         return classes;
     }
@@ -212,7 +212,7 @@
         }
         SafetyRules rules = new SafetyRules(r.drainGrace(), r.coldFrom(), r.warmWithin(), r.tipMultiple(), r.overloadFor(),
                 r.keyRest() + REST_SLACK_NANOS, r.spareAttempts(), r.extraPerRequest(), r.lookBack());
-        return new Settings(s.self(), s.fronts(), s.zone(), s.types(), s.tenants(), s.kinds(), s.permissions(), rules,
+        return new Settings(s.self(), s.fronts(), s.zone(), s.requestClasses(), s.tenants(), s.kinds(), s.permissions(), rules,
                 s.overShareWorth(), s.grantCap(), s.follow(), s.notePeriod(), s.marksRepeats(), s.probePrice());
     }
 
--- a/src/main/java/cairnline/program/ODataConfiguration.java
+++ b/src/main/java/cairnline/program/ODataConfiguration.java
@@ -94,7 +94,7 @@
             return null;
         }
         String name = text(set, at + "." + member, member);
-        RequestClassSettings type = settings.types().stream().filter(t -> t.name().equals(name)).findFirst().orElseThrow(() ->
+        RequestClassSettings type = settings.requestClasses().stream().filter(t -> t.name().equals(name)).findFirst().orElseThrow(() ->
                 new ConfigurationException(at + "." + member, "is none of the settings' classes: " + name));
         if (type.effect() != (write ? RetrySafety.KEYED : RetrySafety.SAFE)) {
             throw new ConfigurationException(at + "." + member,
--- a/src/main/java/cairnline/simhost/SettingsReader.java
+++ b/src/main/java/cairnline/simhost/SettingsReader.java
@@ -26,13 +26,13 @@
     /** All that the module is told at start. */
     public Settings read() {
         return new Settings((int) in.whole("selfIndex", 0), (int) in.whole("groupSize", 1), in.text("locality", ""),
-                types(), tenants(), kinds(), permissions(), rules(), in.number("overShareWorth", 1),
+                requestClasses(), tenants(), kinds(), permissions(), rules(), in.number("overShareWorth", 1),
                 in.number("specifics.grantCap", 1), in.text("discovery", "push").equals("ask"),
                 in.whole("specifics.notePeriodNs", 0), in.flag("clientHabits.marksRetry", false),
                 in.number("deductions.probe", 0));
     }
 
-    private List<RequestClassSettings> types() {
+    private List<RequestClassSettings> requestClasses() {
         List<RequestClassSettings> types = new ArrayList<>();
         int count = (int) in.whole("profiles.count", 0);
         for (int i = 0; i < count; i++) {
--- a/src/test/java/cairnline/program/ConfigurationTest.java
+++ b/src/test/java/cairnline/program/ConfigurationTest.java
@@ -31,9 +31,9 @@
     void settingsAreReadAsTheSimulatorTellsThem() {
         Configuration configuration = read(text());
         assertEquals(List.of("lookup", "report", "load", "once"),
-                configuration.settings().types().stream().map(type -> type.name()).toList());
-        assertEquals(List.of(1, 4, 2, 1), configuration.settings().types().stream().map(type -> type.threads()).toList());
-        assertTrue(configuration.settings().types().get(0).waitsForHolder());
+                configuration.settings().requestClasses().stream().map(type -> type.name()).toList());
+        assertEquals(List.of(1, 4, 2, 1), configuration.settings().requestClasses().stream().map(type -> type.threads()).toList());
+        assertTrue(configuration.settings().requestClasses().get(0).waitsForHolder());
         assertEquals(16, configuration.settings().kinds().get("std16").cores());
         assertEquals(250_000, configuration.limits().connections().connect());
         assertTrue(configuration.classes().get("load").ordered());
