--- a/src/main/java/cairnline/program/ODataConfiguration.java
+++ b/src/main/java/cairnline/program/ODataConfiguration.java
@@ -45,13 +45,13 @@
 
     private static List<ListedEngine> engines(Map<String, Object> root, Settings settings) {
         List<ListedEngine> engines = new ArrayList<>();
-        String usualKind = settings.kinds().keySet().stream().findFirst().orElse("");
+        String usualKind = settings.machineTypes().keySet().stream().findFirst().orElse("");
         for (Object each : Json.asList(root.getOrDefault("engines", List.of()), "engines")) {
             Map<String, Object> engine = Json.asObject(each, "engines");
             String address = text(engine, "odata.engines.address", "address");
             Configuration.address("odata.engines.address", address);
             String kind = engine.containsKey("kind") ? text(engine, "odata.engines.kind", "kind") : usualKind;
-            if (!settings.kinds().containsKey(kind)) {
+            if (!settings.machineTypes().containsKey(kind)) {
                 throw new ConfigurationException("odata.engines.kind", "is none of the settings' shapes: " + kind);
             }
             engines.add(new ListedEngine(text(engine, "odata.engines.id", "id"), address, EngineStatus.READY,
