--- a/src/main/java/cairnline/control/Control.java
+++ b/src/main/java/cairnline/control/Control.java
@@ -111,7 +111,7 @@
         this.out = out;
         this.random = new SplittableRandom(seed);
         this.bornAt = now;
-        this.sample = Math.max(SAMPLE_LEAST, (int) Math.round((double) SAMPLE_ALL / settings.fronts()));
+        this.sample = Math.max(SAMPLE_LEAST, (int) Math.round((double) SAMPLE_ALL / settings.frontCount()));
         this.probes = new ProbeBudget(settings.probePrice(), now, random.split());
         this.now = now;
         for (RequestClassSettings type : settings.requestClasses()) {
@@ -188,7 +188,7 @@
         }
         double whole = Math.min(1, COLD_FILL * rules.tipMultiple()) * h.warmth(rules, now) * h.cores
                 * rules.overloadFor();
-        double part = whole / settings.fronts();
+        double part = whole / settings.frontCount();
         double spent = h.coldSends.since(now - rules.overloadFor());
         return weight <= COLD_LARGEST * whole ? spent + h.draw * weight <= part
                 : h.draw * weight <= part && spent + weight <= COLD_TOGETHER * rules.tipMultiple() * part;
@@ -783,7 +783,7 @@
                     continue;
                 }
                 h = new EngineEstimate(e, settings, fleets.computeIfAbsent(e.kind(),
-                        kind -> new FleetLoad(settings.fronts())));
+                        kind -> new FleetLoad(settings.frontCount())));
                 hosts.put(e.id(), h);
                 h.probeAt = probes.first(now, hosts.size());
                 ranked.add(h);
--- a/src/main/java/cairnline/control/EngineEstimate.java
+++ b/src/main/java/cairnline/control/EngineEstimate.java
@@ -39,7 +39,7 @@
     EngineEstimate(Engine e, Settings settings, FleetLoad fleet) {
         super(e, settings.kinds().get(e.kind()));
         this.fleet = fleet;
-        this.share = 1.0 / settings.fronts();
+        this.share = 1.0 / settings.frontCount();
         settings.requestClasses().forEach(type -> predictors.add(new Predictor()));
     }
 
--- a/src/test/java/cairnline/program/ConfigurationTest.java
+++ b/src/test/java/cairnline/program/ConfigurationTest.java
@@ -47,13 +47,13 @@
         int at = text().indexOf(told) + told.length();
         assertTrue(at > told.length(), "the configuration tells it");
         String rest = text().substring(at).replaceFirst("^\\d+", "");
-        assertEquals(14, read(text().substring(0, at) + 14 + rest).settings().fronts());
-        assertEquals(1, read(text().substring(0, at) + 1 + rest).settings().fronts());
-        assertEquals(1, read(text().replace(told, "\"other\": ")).settings().fronts());
+        assertEquals(14, read(text().substring(0, at) + 14 + rest).settings().frontCount());
+        assertEquals(1, read(text().substring(0, at) + 1 + rest).settings().frontCount());
+        assertEquals(1, read(text().replace(told, "\"other\": ")).settings().frontCount());
         ConfigurationException e = assertThrows(ConfigurationException.class,
                 () -> read(text().substring(0, at) + 0 + rest));
         assertTrue(e.getMessage().startsWith("settings: "), e.getMessage());
-        assertEquals(1_024, read(text().substring(0, at) + 1_024 + rest).settings().fronts());
+        assertEquals(1_024, read(text().substring(0, at) + 1_024 + rest).settings().frontCount());
         assertThrows(ConfigurationException.class, () -> read(text().substring(0, at) + "\"many\"" + rest));
     }
 
