--- a/src/main/java/cairnline/control/Control.java
+++ b/src/main/java/cairnline/control/Control.java
@@ -147,7 +147,7 @@
 
     /** Both edges of the window are taken against this front, wherever they are counted. */
     private boolean rationLeft() {
-        SafetyRules rules = settings.rules();
+        SafetyRules rules = settings.safetyRules();
         long since = now - rules.lookBack();
         return rules.spareAttempts() < 0 || extra.since(since - EDGE) + 1
                 <= rules.spareAttempts() + rules.extraPerRequest() * taken.since(since + EDGE);
@@ -174,7 +174,7 @@
      * A front that has just started does not know what it sent before, and waits one window.
      */
     private boolean coldRoom(EngineEstimate h, double weight) {
-        SafetyRules rules = settings.rules();
+        SafetyRules rules = settings.safetyRules();
         long age = now - h.coldSince;
         if (h.coldSince == 0 || age >= rules.warmWithin()) {
             return true;
@@ -253,7 +253,7 @@
         kin.patience = Math.max(kin.patience, r.budget());
         q.overShare = overShare(r.tenant());
         queries.put(q.id, q);
-        if (settings.rules().spareAttempts() >= 0) {
+        if (settings.safetyRules().spareAttempts() >= 0) {
             taken.add(now, 1);
         }
         unsent.add(q);
@@ -400,7 +400,7 @@
         unsent.remove(q);
         q.kin.held.remove(q);
         if (!q.attempts.isEmpty()) {
-            if (settings.rules().spareAttempts() >= 0) {
+            if (settings.safetyRules().spareAttempts() >= 0) {
                 extra.add(now, 1);
             }
         } else {
@@ -414,7 +414,7 @@
             q.line.attemptsOut++;
         }
         h.book(a, 1);
-        if (h.coldSince > 0 && now < h.coldSince + settings.rules().warmWithin()) {
+        if (h.coldSince > 0 && now < h.coldSince + settings.safetyRules().warmWithin()) {
             h.coldSends.add(now, coldWeight(q));
         }
         Permissions may = settings.permissions();
@@ -564,7 +564,7 @@
         if (q.line != null) {
             q.line.attemptsOut--;
             if (o.end() == AttemptStatus.TIMEOUT || o.end() == AttemptStatus.RESET || o.end() == AttemptStatus.CANCELLED) {
-                q.line.restUntil = now + settings.rules().keyRest();
+                q.line.restUntil = now + settings.safetyRules().keyRest();
             }
         }
     }
@@ -815,7 +815,7 @@
         countedAt = now;
         fleets.values().forEach(FleetLoad::clear);
         for (EngineEstimate h : hosts.values()) {
-            h.warmth = h.warmth(settings.rules(), now);
+            h.warmth = h.warmth(settings.safetyRules(), now);
             if (h.listed == EngineStatus.READY) {
                 h.fleet.count(h.cores * h.warmth, h.attempts, h.threads);
             }
--- a/src/main/java/cairnline/program/Configuration.java
+++ b/src/main/java/cairnline/program/Configuration.java
@@ -206,7 +206,7 @@
      * attempt that is given up a little early still counts as out until its client's time is up.
      */
     private static Settings rested(Settings s) {
-        SafetyRules r = s.rules();
+        SafetyRules r = s.safetyRules();
         if (r.keyRest() == 0) {
             return s;
         }
--- a/src/test/java/cairnline/control/ManyFrontsTest.java
+++ b/src/test/java/cairnline/control/ManyFrontsTest.java
@@ -191,7 +191,7 @@
 
     @Test
     void warmthGrowsFromTheColdShareToAllAndNeverWhereTheStartIsUnknown() {
-        ControlApi.SafetyRules rules = site.settings().rules();
+        ControlApi.SafetyRules rules = site.settings().safetyRules();
         EngineState known = new EngineState(ScriptedFront.engine("e", EngineStatus.READY, "large", 100 * SECOND), null);
         known.coldSince = 100 * SECOND;
         assertEquals(0.4, known.warmth(rules, 100 * SECOND), 1e-9);
