--- a/src/main/java/cairnline/control/Control.java
+++ b/src/main/java/cairnline/control/Control.java
@@ -118,7 +118,7 @@
             kinds.put(type.name(), new RequestClass(type, kinds.size()));
         }
         settings.tenants().forEach(tenant -> shares.put(tenant.name(), tenant.share()));
-        if (settings.follow()) {
+        if (settings.subscriptionRequired()) {
             out.follow();
         }
         if (settings.permissions().probes()) {
@@ -805,7 +805,7 @@
     @Override
     public void enginesUnreachable(long time) {
         tick(time);
-        if (settings.follow()) {
+        if (settings.subscriptionRequired()) {
             out.follow();
         }
     }
