--- a/src/main/java/cairnline/control/Control.java
+++ b/src/main/java/cairnline/control/Control.java
@@ -465,10 +465,10 @@
     }
 
     private void arm() {
-        if (unsent.isEmpty() && (sent.isEmpty() || settings.notePeriod() == 0)) {
+        if (unsent.isEmpty() && (sent.isEmpty() || settings.statusUpdateInterval() == 0)) {
             return;
         }
-        long due = unsent.isEmpty() ? now + settings.notePeriod() / 2
+        long due = unsent.isEmpty() ? now + settings.statusUpdateInterval() / 2
                 : Math.max(now + 1, Math.min(now + SWEEP, unsent.first().deadline - ANSWER_MARGIN));
         if (due < wakeAt) {
             wakeAt = due;
@@ -500,7 +500,7 @@
      */
     private void watch(Attempt a) {
         double silence = now - Math.max(a.heardAt, awakeAt);
-        if (settings.notePeriod() > 0 && silence > SILENT_NOTES * settings.notePeriod()) {
+        if (settings.statusUpdateInterval() > 0 && silence > SILENT_NOTES * settings.statusUpdateInterval()) {
             a.heardAt = now;
             a.host.health.lost(now);
             if (mayGiveUp(a.query)) {
@@ -645,7 +645,7 @@
                 q.failedBy.health.failed(usual, now);
             }
         } else if (end == AttemptStatus.CONNECT_FAILED || end == AttemptStatus.RESET
-                || end == AttemptStatus.TIMEOUT && settings.notePeriod() == 0) {
+                || end == AttemptStatus.TIMEOUT && settings.statusUpdateInterval() == 0) {
             h.health.lost(now);
         }
     }
