--- a/src/main/java/cairnline/control/Control.java
+++ b/src/main/java/cairnline/control/Control.java
@@ -435,7 +435,7 @@
         RequestClassSettings type = q.kin.type;
         boolean worthless = type.effect() == RetrySafety.SAFE && type.lateWorth() <= 0;
         long left = 2 * q.aimAt - q.askedAt - type.aim() - now;
-        return settings.permissions().cancel() && settings.marksRepeats() && worthless
+        return settings.permissions().cancel() && settings.clientsMarkRetries() && worthless
                 && now + left < q.deadline - ANSWER_MARGIN ? Math.max(MS, left) : 0;
     }
 
