--- a/src/main/java/cairnline/control/Control.java
+++ b/src/main/java/cairnline/control/Control.java
@@ -112,7 +112,7 @@
         this.random = new SplittableRandom(seed);
         this.bornAt = now;
         this.sample = Math.max(SAMPLE_LEAST, (int) Math.round((double) SAMPLE_ALL / settings.frontCount()));
-        this.probes = new ProbeBudget(settings.probePrice(), now, random.split());
+        this.probes = new ProbeBudget(settings.probeCost(), now, random.split());
         this.now = now;
         for (RequestClassSettings type : settings.requestClasses()) {
             kinds.put(type.name(), new RequestClass(type, kinds.size()));
