--- a/src/main/java/cairnline/control/Control.java
+++ b/src/main/java/cairnline/control/Control.java
@@ -160,10 +160,10 @@
 
     /** A request that may have run is repeated only as its class permits. */
     private boolean repeatAllowed(Query q, EngineEstimate h) {
-        if (q.firstDoubt == null || q.kin.type.effect() == RetrySafety.SAFE) {
+        if (q.firstDoubt == null || q.kin.type.retrySafety() == RetrySafety.SAFE) {
             return true;
         }
-        return q.kin.type.effect() == RetrySafety.KEYED && q.firstDoubt.sharesKeys(h, q.kin.type.scope())
+        return q.kin.type.retrySafety() == RetrySafety.KEYED && q.firstDoubt.sharesKeys(h, q.kin.type.scope())
                 && now < q.firstDoubtAt + q.kin.type.window() - WINDOW_MARGIN;
     }
 
@@ -204,8 +204,8 @@
         if (q.closed) {
             return;
         }
-        boolean harmless = q.firstDoubt == null || q.kin.type.effect() == RetrySafety.SAFE
-                || q.kin.type.effect() == RetrySafety.KEYED && q.kin.type.scope() == DeduplicationScope.ALL;
+        boolean harmless = q.firstDoubt == null || q.kin.type.retrySafety() == RetrySafety.SAFE
+                || q.kin.type.retrySafety() == RetrySafety.KEYED && q.kin.type.scope() == DeduplicationScope.ALL;
         if (refuse && harmless) {
             Permissions may = settings.permissions();
             out.refuse(q.id, may.retryAfter() ? Math.min(may.maxRetryAfter(), (long) q.kin.usualDelay()) : 0);
@@ -433,7 +433,7 @@
      */
     private long timeOut(Query q) {
         RequestClassSettings type = q.kin.type;
-        boolean worthless = type.effect() == RetrySafety.SAFE && type.lateWorth() <= 0;
+        boolean worthless = type.retrySafety() == RetrySafety.SAFE && type.lateWorth() <= 0;
         long left = 2 * q.aimAt - q.askedAt - type.aim() - now;
         return settings.permissions().cancel() && settings.clientsMarkRetries() && worthless
                 && now + left < q.deadline - ANSWER_MARGIN ? Math.max(MS, left) : 0;
@@ -441,7 +441,7 @@
 
     /** Whether an attempt may be given up for another one. */
     private boolean mayGiveUp(Query q) {
-        return !q.closed && q.kin.type.effect() != RetrySafety.UNSAFE && settings.permissions().cancel()
+        return !q.closed && q.kin.type.retrySafety() != RetrySafety.UNSAFE && settings.permissions().cancel()
                 && q.attempts.size() < settings.permissions().attempts() && rationLeft();
     }
 
@@ -576,7 +576,7 @@
             close(q, false);
             return;
         }
-        decide(q, attemptAllowed(q) && (q.firstDoubt == null || q.kin.type.effect() == RetrySafety.SAFE));
+        decide(q, attemptAllowed(q) && (q.firstDoubt == null || q.kin.type.retrySafety() == RetrySafety.SAFE));
     }
 
     /** Only successes teach delays; every outcome speaks of health. */
@@ -729,7 +729,7 @@
      */
     private void stand(Attempt a, StatusKind kind, long since) {
         Query q = a.query;
-        if (q.kin.type.effect() != RetrySafety.SAFE) {
+        if (q.kin.type.retrySafety() != RetrySafety.SAFE) {
             a.stands = true;
             a.stood += since;
         } else if (kind == StatusKind.WAITS_LOAD && !q.moved && mayGiveUp(q)) {
@@ -752,7 +752,7 @@
      */
     private void stopLost(Query q, Attempt a, double done, double whole) {
         boolean tooLate = a.sentAt + whole > q.deadline;
-        boolean runaway = a.number == 0 && q.kin.type.effect() == RetrySafety.SAFE
+        boolean runaway = a.number == 0 && q.kin.type.retrySafety() == RetrySafety.SAFE
                 && whole > RUNAWAY * Math.max(a.prediction, q.kin.usualDelay() * q.size);
         if (!q.closed && settings.permissions().cancel() && done < DONE_ENOUGH && (tooLate || runaway)) {
             out.cancel(q.id, a.number);
--- a/src/main/java/cairnline/program/ODataConfiguration.java
+++ b/src/main/java/cairnline/program/ODataConfiguration.java
@@ -96,7 +96,7 @@
         String name = text(set, at + "." + member, member);
         RequestClassSettings type = settings.requestClasses().stream().filter(t -> t.name().equals(name)).findFirst().orElseThrow(() ->
                 new ConfigurationException(at + "." + member, "is none of the settings' classes: " + name));
-        if (type.effect() != (write ? RetrySafety.KEYED : RetrySafety.SAFE)) {
+        if (type.retrySafety() != (write ? RetrySafety.KEYED : RetrySafety.SAFE)) {
             throw new ConfigurationException(at + "." + member,
                     write ? "is no keyed class: " + name : "is no class that is safe to repeat: " + name);
         }
