--- a/src/main/java/cairnline/control/Control.java
+++ b/src/main/java/cairnline/control/Control.java
@@ -257,7 +257,7 @@
             taken.add(now, 1);
         }
         unsent.add(q);
-        if (kin.type.serial() && r.hasKey()) {
+        if (kin.type.serialByKey() && r.hasKey()) {
             q.line = lines.computeIfAbsent(r.key(), KeyQueue::new);
             q.line.waiting.addLast(q);
         }
--- a/src/main/java/cairnline/program/Configuration.java
+++ b/src/main/java/cairnline/program/Configuration.java
@@ -128,7 +128,7 @@
     Map<String, ClassRules> classes() {
         Map<String, ClassRules> classes = new HashMap<>();
         settings.requestClasses().forEach(type ->
-                classes.put(type.name(), new ClassRules(type.retrySafety() == RetrySafety.KEYED, type.serial())));
+                classes.put(type.name(), new ClassRules(type.retrySafety() == RetrySafety.KEYED, type.serialByKey())));
         return classes;
     }
 
