--- a/src/main/java/cairnline/control/Control.java
+++ b/src/main/java/cairnline/control/Control.java
@@ -288,7 +288,7 @@
 
     /** Loads go before others only where these wait for them: else they take the time of what earns more. */
     private int priority(RequestClass kin) {
-        boolean awaited = kin.type.holdsTables() && settings.requestClasses().stream().anyMatch(RequestClassSettings::waitsForHolder);
+        boolean awaited = kin.type.holdsTables() && settings.requestClasses().stream().anyMatch(RequestClassSettings::waitsForTableLock);
         return awaited ? PRIORITY_HOLDER : light(kin) ? PRIORITY_LIGHT : PRIORITY_USUAL;
     }
 
@@ -375,7 +375,7 @@
         double others = q.kin.usualDelay() * h.pace.factor(now) * crowd / q.kin.meanCrowd;
         double own = p.t > 0 ? p.predict(now, q.kin.rho, crowd, q.kin.meanCrowd) : others;
         double base = others * StrictMath.pow(own / others, p.trust(now));
-        boolean waits = q.kin.type.holdsTables() || q.kin.type.waitsForHolder();
+        boolean waits = q.kin.type.holdsTables() || q.kin.type.waitsForTableLock();
         return base * q.size * (waits && h.holding.containsKey(q.tables) ? HELD_FACTOR : 1);
     }
 
--- a/src/test/java/cairnline/program/ConfigurationTest.java
+++ b/src/test/java/cairnline/program/ConfigurationTest.java
@@ -33,7 +33,7 @@
         assertEquals(List.of("lookup", "report", "load", "once"),
                 configuration.settings().requestClasses().stream().map(type -> type.name()).toList());
         assertEquals(List.of(1, 4, 2, 1), configuration.settings().requestClasses().stream().map(type -> type.threads()).toList());
-        assertTrue(configuration.settings().requestClasses().get(0).waitsForHolder());
+        assertTrue(configuration.settings().requestClasses().get(0).waitsForTableLock());
         assertEquals(16, configuration.settings().machineTypes().get("std16").cores());
         assertEquals(250_000, configuration.limits().connections().connect());
         assertTrue(configuration.classes().get("load").ordered());
