--- a/src/main/java/cairnline/control/EngineState.java
+++ b/src/main/java/cairnline/control/EngineState.java
@@ -58,7 +58,7 @@
             return 1;
         }
         double grown = sure ? (double) Math.max(0, age) / rules.warmWithin() : 0;
-        return rules.coldFrom() + (1 - rules.coldFrom()) * grown * grown;
+        return rules.coldCapacity() + (1 - rules.coldCapacity()) * grown * grown;
     }
 
     /** Books one attempt of a class on (1) or off (-1). */
--- a/src/main/java/cairnline/standin/EngineModel.java
+++ b/src/main/java/cairnline/standin/EngineModel.java
@@ -68,7 +68,7 @@
     public double capacity(long at) {
         double age = Math.min(1, (double) (at - startedAt) / shape.warmWithin());
         double grown = !cold || age >= 1 ? 1 : shape.late() ? 0 : age * age;
-        return shape.cores() * (shape.coldFrom() + (1 - shape.coldFrom()) * grown);
+        return shape.cores() * (shape.coldCapacity() + (1 - shape.coldCapacity()) * grown);
     }
 
     /** A query comes; those that were done before must have been taken with {@link #advance}. */
