--- a/src/main/java/cairnline/control/Control.java
+++ b/src/main/java/cairnline/control/Control.java
@@ -176,7 +176,7 @@
     private boolean coldRoom(EngineEstimate h, double weight) {
         SafetyRules rules = settings.safetyRules();
         long age = now - h.coldSince;
-        if (h.coldSince == 0 || age >= rules.warmWithin()) {
+        if (h.coldSince == 0 || age >= rules.warmUpTime()) {
             return true;
         }
         if (h.coldSince < bornAt && now < bornAt + rules.overloadFor()) {
@@ -414,7 +414,7 @@
             q.line.attemptsOut++;
         }
         h.book(a, 1);
-        if (h.coldSince > 0 && now < h.coldSince + settings.safetyRules().warmWithin()) {
+        if (h.coldSince > 0 && now < h.coldSince + settings.safetyRules().warmUpTime()) {
             h.coldSends.add(now, coldWeight(q));
         }
         Permissions may = settings.permissions();
--- a/src/main/java/cairnline/control/EngineState.java
+++ b/src/main/java/cairnline/control/EngineState.java
@@ -54,10 +54,10 @@
     /** Part of its capacity that it has at least: a start that is not known may be as late as now. */
     final double warmth(SafetyRules rules, long now) {
         long age = now - coldSince;
-        if (coldSince == 0 || age >= rules.warmWithin()) {
+        if (coldSince == 0 || age >= rules.warmUpTime()) {
             return 1;
         }
-        double grown = sure ? (double) Math.max(0, age) / rules.warmWithin() : 0;
+        double grown = sure ? (double) Math.max(0, age) / rules.warmUpTime() : 0;
         return rules.coldCapacity() + (1 - rules.coldCapacity()) * grown * grown;
     }
 
--- a/src/main/java/cairnline/program/ServeSettings.java
+++ b/src/main/java/cairnline/program/ServeSettings.java
@@ -25,7 +25,7 @@
     /** Reads the file, if there is one; throws with all its faults. */
     static ServeSettings read(Path file, boolean odataAsked, Configuration configuration) {
         Resolved in = file == null ? null : SettingsFile.read(file);
-        long warmWithin = configuration.settings().safetyRules().warmWithin() / NANOS_PER_MICRO;
+        long warmWithin = configuration.settings().safetyRules().warmUpTime() / NANOS_PER_MICRO;
         if (in == null) {
             return new ServeSettings(null, false, null, null, StoreSettings.usual(), TrustSettings.usual(warmWithin),
                     EventLog.Format.TEXT, LOG_QUEUE, false);
--- a/src/main/java/cairnline/routing/Core.java
+++ b/src/main/java/cairnline/routing/Core.java
@@ -65,7 +65,7 @@
     public Core(Settings settings, long seed, Limits limits, Clock clock, Consumer<String> log,
                 BiFunction<ListedEngine, Core, EngineLink> links) {
         this(settings, seed, limits, clock, log, links,
-                TrustSettings.usual(Clock.fromModule(settings.safetyRules().warmWithin())), Keeper.NONE, RequestTrace.OFF);
+                TrustSettings.usual(Clock.fromModule(settings.safetyRules().warmUpTime())), Keeper.NONE, RequestTrace.OFF);
     }
 
     /** A core that does not run yet; {@code links} opens the way to an engine, {@code keeper} is shown the list. */
