--- a/src/main/java/cairnline/control/Control.java
+++ b/src/main/java/cairnline/control/Control.java
@@ -186,12 +186,12 @@
             h.drawnUntil = now + (long) (rules.overloadFor() * (h.drawnUntil == 0 ? random.nextDouble() : 1));
             h.draw = random.nextDouble();
         }
-        double whole = Math.min(1, COLD_FILL * rules.tipMultiple()) * h.warmth(rules, now) * h.cores
+        double whole = Math.min(1, COLD_FILL * rules.overloadMultiple()) * h.warmth(rules, now) * h.cores
                 * rules.overloadFor();
         double part = whole / settings.frontCount();
         double spent = h.coldSends.since(now - rules.overloadFor());
         return weight <= COLD_LARGEST * whole ? spent + h.draw * weight <= part
-                : h.draw * weight <= part && spent + weight <= COLD_TOGETHER * rules.tipMultiple() * part;
+                : h.draw * weight <= part && spent + weight <= COLD_TOGETHER * rules.overloadMultiple() * part;
     }
 
     /** An estimate counts only upwards: too low a one would send too much. */
--- a/src/main/java/cairnline/standin/EngineModel.java
+++ b/src/main/java/cairnline/standin/EngineModel.java
@@ -82,7 +82,7 @@
         if (cold && now - startedAt < shape.warmWithin()) {
             double over = inWindow / (capacity(now) * shape.overloadFor());
             highest = Math.max(highest, over);
-            fell |= over > shape.tipMultiple();
+            fell |= over > shape.overloadMultiple();
         }
     }
 
