--- a/src/main/java/cairnline/control/Control.java
+++ b/src/main/java/cairnline/control/Control.java
@@ -179,17 +179,17 @@
         if (h.coldSince == 0 || age >= rules.warmUpTime()) {
             return true;
         }
-        if (h.coldSince < bornAt && now < bornAt + rules.overloadFor()) {
+        if (h.coldSince < bornAt && now < bornAt + rules.overloadWindow()) {
             return false;
         }
         if (now >= h.drawnUntil) {
-            h.drawnUntil = now + (long) (rules.overloadFor() * (h.drawnUntil == 0 ? random.nextDouble() : 1));
+            h.drawnUntil = now + (long) (rules.overloadWindow() * (h.drawnUntil == 0 ? random.nextDouble() : 1));
             h.draw = random.nextDouble();
         }
         double whole = Math.min(1, COLD_FILL * rules.overloadMultiple()) * h.warmth(rules, now) * h.cores
-                * rules.overloadFor();
+                * rules.overloadWindow();
         double part = whole / settings.frontCount();
-        double spent = h.coldSends.since(now - rules.overloadFor());
+        double spent = h.coldSends.since(now - rules.overloadWindow());
         return weight <= COLD_LARGEST * whole ? spent + h.draw * weight <= part
                 : h.draw * weight <= part && spent + weight <= COLD_TOGETHER * rules.overloadMultiple() * part;
     }
--- a/src/main/java/cairnline/program/Configuration.java
+++ b/src/main/java/cairnline/program/Configuration.java
@@ -210,7 +210,7 @@
         if (r.keyRest() == 0) {
             return s;
         }
-        SafetyRules rules = new SafetyRules(r.drainGrace(), r.coldCapacity(), r.warmUpTime(), r.overloadMultiple(), r.overloadFor(),
+        SafetyRules rules = new SafetyRules(r.drainGrace(), r.coldCapacity(), r.warmUpTime(), r.overloadMultiple(), r.overloadWindow(),
                 r.keyRest() + REST_SLACK_NANOS, r.spareAttempts(), r.extraPerRequest(), r.lookBack());
         return new Settings(s.frontIndex(), s.frontCount(), s.zone(), s.requestClasses(), s.tenants(), s.machineTypes(), s.permissions(), rules,
                 s.overShareWorth(), s.memoryGrantCap(), s.subscriptionRequired(), s.statusUpdateInterval(), s.clientsMarkRetries(), s.probeCost());
--- a/src/main/java/cairnline/standin/EngineModel.java
+++ b/src/main/java/cairnline/standin/EngineModel.java
@@ -76,11 +76,11 @@
         running.put(id, new Running(work, threads));
         window.addLast(new Arrival(now, work));
         inWindow += work;
-        while (window.peekFirst().at < now - shape.overloadFor()) {
+        while (window.peekFirst().at < now - shape.overloadWindow()) {
             inWindow -= window.pollFirst().work;
         }
         if (cold && now - startedAt < shape.warmWithin()) {
-            double over = inWindow / (capacity(now) * shape.overloadFor());
+            double over = inWindow / (capacity(now) * shape.overloadWindow());
             highest = Math.max(highest, over);
             fell |= over > shape.overloadMultiple();
         }
