--- a/src/main/java/cairnline/control/Control.java
+++ b/src/main/java/cairnline/control/Control.java
@@ -564,7 +564,7 @@
         if (q.line != null) {
             q.line.attemptsOut--;
             if (o.end() == AttemptStatus.TIMEOUT || o.end() == AttemptStatus.RESET || o.end() == AttemptStatus.CANCELLED) {
-                q.line.restUntil = now + settings.safetyRules().keyRest();
+                q.line.restUntil = now + settings.safetyRules().keyCooldown();
             }
         }
     }
--- a/src/main/java/cairnline/program/Configuration.java
+++ b/src/main/java/cairnline/program/Configuration.java
@@ -207,11 +207,11 @@
      */
     private static Settings rested(Settings s) {
         SafetyRules r = s.safetyRules();
-        if (r.keyRest() == 0) {
+        if (r.keyCooldown() == 0) {
             return s;
         }
         SafetyRules rules = new SafetyRules(r.drainGrace(), r.coldCapacity(), r.warmUpTime(), r.overloadMultiple(), r.overloadWindow(),
-                r.keyRest() + REST_SLACK_NANOS, r.spareAttempts(), r.extraPerRequest(), r.lookBack());
+                r.keyCooldown() + REST_SLACK_NANOS, r.spareAttempts(), r.extraPerRequest(), r.lookBack());
         return new Settings(s.frontIndex(), s.frontCount(), s.zone(), s.requestClasses(), s.tenants(), s.machineTypes(), s.permissions(), rules,
                 s.overShareWorth(), s.memoryGrantCap(), s.subscriptionRequired(), s.statusUpdateInterval(), s.clientsMarkRetries(), s.probeCost());
     }
--- a/src/test/java/cairnline/program/ConfigurationTest.java
+++ b/src/test/java/cairnline/program/ConfigurationTest.java
@@ -69,7 +69,7 @@
     @Test
     void aKeyRestsLongerThanTheSettingsSay() {
         // 300 ms are told; an attempt given up early counts as out until its client's time is up.
-        assertEquals(400_000_000, read(text()).settings().safetyRules().keyRest());
+        assertEquals(400_000_000, read(text()).settings().safetyRules().keyCooldown());
     }
 
     @Test
