--- a/src/main/java/cairnline/control/Control.java
+++ b/src/main/java/cairnline/control/Control.java
@@ -149,8 +149,8 @@
     private boolean rationLeft() {
         SafetyRules rules = settings.safetyRules();
         long since = now - rules.lookBack();
-        return rules.spareAttempts() < 0 || extra.since(since - EDGE) + 1
-                <= rules.spareAttempts() + rules.extraPerRequest() * taken.since(since + EDGE);
+        return rules.retryAllowance() < 0 || extra.since(since - EDGE) + 1
+                <= rules.retryAllowance() + rules.extraPerRequest() * taken.since(since + EDGE);
     }
 
     private boolean keyTurn(Query q) {
@@ -253,7 +253,7 @@
         kin.patience = Math.max(kin.patience, r.budget());
         q.overShare = overShare(r.tenant());
         queries.put(q.id, q);
-        if (settings.safetyRules().spareAttempts() >= 0) {
+        if (settings.safetyRules().retryAllowance() >= 0) {
             taken.add(now, 1);
         }
         unsent.add(q);
@@ -400,7 +400,7 @@
         unsent.remove(q);
         q.kin.held.remove(q);
         if (!q.attempts.isEmpty()) {
-            if (settings.safetyRules().spareAttempts() >= 0) {
+            if (settings.safetyRules().retryAllowance() >= 0) {
                 extra.add(now, 1);
             }
         } else {
