--- a/src/main/java/cairnline/control/Control.java
+++ b/src/main/java/cairnline/control/Control.java
@@ -150,7 +150,7 @@
         SafetyRules rules = settings.safetyRules();
         long since = now - rules.lookBack();
         return rules.retryAllowance() < 0 || extra.since(since - EDGE) + 1
-                <= rules.retryAllowance() + rules.extraPerRequest() * taken.since(since + EDGE);
+                <= rules.retryAllowance() + rules.retriesPerRequest() * taken.since(since + EDGE);
     }
 
     private boolean keyTurn(Query q) {
