--- a/src/main/java/cairnline/control/Control.java
+++ b/src/main/java/cairnline/control/Control.java
@@ -148,7 +148,7 @@
     /** Both edges of the window are taken against this front, wherever they are counted. */
     private boolean rationLeft() {
         SafetyRules rules = settings.safetyRules();
-        long since = now - rules.lookBack();
+        long since = now - rules.retryWindow();
         return rules.retryAllowance() < 0 || extra.since(since - EDGE) + 1
                 <= rules.retryAllowance() + rules.retriesPerRequest() * taken.since(since + EDGE);
     }
--- a/src/main/java/cairnline/control/ControlApi.java
+++ b/src/main/java/cairnline/control/ControlApi.java
@@ -180,7 +180,7 @@
             require(!types.isEmpty(), "no class of requests is set");
             require(permissions.attempts() >= 1, "at least one attempt must be allowed");
             require(rules.coldCapacity() >= 0 && rules.coldCapacity() <= 1, "the cold share lies between 0 and 1");
-            require(rules.retryAllowance() < 0 || rules.lookBack() > 0, "a ration of attempts needs a window");
+            require(rules.retryAllowance() < 0 || rules.retryWindow() > 0, "a ration of attempts needs a window");
             require(notePeriod >= 0, "the time between notes is not negative");
             for (RequestClassSettings type : types) {
                 require(type.aim() > 0 && type.deadline() > 0 && type.threads() >= 1,
