--- a/src/main/java/cairnline/routing/Core.java
+++ b/src/main/java/cairnline/routing/Core.java
@@ -496,7 +496,7 @@
 
     /** Tells the module of these engines as membership lets them be offered. */
     private void offer(boolean whole, List<ListedEngine> entries) {
-        tell(() -> control.engines(moduleNow(), whole,
+        tell(() -> control.onEngineList(moduleNow(), whole,
                 entries.stream().map(membership::offer).map(Clock::toModule).toList()));
         offered = true;
         ready = asked && !stopping;
--- a/src/main/java/cairnline/simhost/BatchProcessor.java
+++ b/src/main/java/cairnline/simhost/BatchProcessor.java
@@ -178,7 +178,7 @@
         if (entries == null) {
             throw new WireException("no INVENTORY bears this number", line);
         }
-        control.engines(now, kind != 2, entries);
+        control.onEngineList(now, kind != 2, entries);
     }
 
     private Request request() {
--- a/src/test/java/cairnline/control/FleetTest.java
+++ b/src/test/java/cairnline/control/FleetTest.java
@@ -46,7 +46,7 @@
 
     /** Times of sends to each engine; each front takes five light queries a second for four seconds. */
     private static Map<String, List<Long>> sends(List<ScriptedFront> fronts, List<Engine> list) {
-        fronts.forEach(s -> s.control.engines(s.now, true, list));
+        fronts.forEach(s -> s.control.onEngineList(s.now, true, list));
         SplittableRandom random = new SplittableRandom(7);
         Map<String, List<Long>> sends = new HashMap<>();
         for (int tick = 0; tick < 800; tick++) {
--- a/src/test/java/cairnline/control/ManyFrontsTest.java
+++ b/src/test/java/cairnline/control/ManyFrontsTest.java
@@ -34,7 +34,7 @@
         List<ScriptedFront> all = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             ScriptedFront s = new ScriptedFront(site, 100 * SECOND, 1000 + i);
-            s.control.engines(s.now, true, large(ENGINES));
+            s.control.onEngineList(s.now, true, large(ENGINES));
             all.add(s);
         }
         return all;
@@ -101,7 +101,7 @@
     void oneHeavyQueryOutDoesNotMakeAnEngineFull() {
         site.fronts = 14;
         ScriptedFront s = new ScriptedFront(site);
-        s.control.engines(s.now, true, large(30));
+        s.control.onEngineList(s.now, true, large(30));
         for (int i = 0; i < 12; i++) {
             s.take("b" + i, "big");
         }
@@ -113,7 +113,7 @@
     void aFleetThatIsFullByAllFrontsTogetherGetsNoMore() {
         site.fronts = 14;
         ScriptedFront s = new ScriptedFront(site);
-        s.control.engines(s.now, true, large(30));
+        s.control.onEngineList(s.now, true, large(30));
         for (int i = 0; i < 60; i++) {
             s.take("b" + i, "big");
         }
@@ -126,7 +126,7 @@
     void whatRunsAtDrainingEnginesDoesNotMakeTheOthersFull() {
         site.fronts = 14;
         ScriptedFront s = new ScriptedFront(site);
-        s.control.engines(s.now, true, large(30));
+        s.control.onEngineList(s.now, true, large(30));
         for (int i = 0; i < 12; i++) {
             s.take("b" + i, "big");
         }
@@ -135,7 +135,7 @@
             next.add(ScriptedFront.engine("e" + i, EngineStatus.DRAINING, "large", 0));
             next.add(ScriptedFront.engine("f" + i, EngineStatus.READY, "large", 0));
         }
-        s.control.engines(s.now, true, next);
+        s.control.onEngineList(s.now, true, next);
         for (int i = 0; i < 12; i++) {
             s.take("c" + i, "big");
         }
@@ -165,7 +165,7 @@
         site.probes = true;
         site.fronts = 14;
         ScriptedFront s = new ScriptedFront(site);
-        s.control.engines(s.now, true, large(30));
+        s.control.onEngineList(s.now, true, large(30));
         for (int round = 0; round < 3; round++) {
             for (int i = 0; i < 20; i++) {
                 s.control.probed(s.now, "e" + i, true, MS, new Load(0.1, 0, 2, 2.5, 0.1));
@@ -182,7 +182,7 @@
     void aColdEngineCountsByItsCapacityOfTheMoment() {
         for (int seed = 0; seed < 20; seed++) {
             ScriptedFront s = new ScriptedFront(site, 100 * SECOND, seed);
-            s.control.engines(s.now, true, List.of(ScriptedFront.engine("warm", EngineStatus.READY, "large", 0),
+            s.control.onEngineList(s.now, true, List.of(ScriptedFront.engine("warm", EngineStatus.READY, "large", 0),
                     ScriptedFront.engine("cold", EngineStatus.READY, "large", 95 * SECOND)));
             s.take("a", "small");
             assertEquals("warm", s.engineOf("a"));
--- a/src/test/java/cairnline/control/PlacementTest.java
+++ b/src/test/java/cairnline/control/PlacementTest.java
@@ -63,7 +63,7 @@
     /** A front that has all engines listed. */
     private static ScriptedFront front(TestSettings site, int seed) {
         ScriptedFront s = new ScriptedFront(site, 100 * SECOND, seed);
-        s.control.engines(s.now, true,
+        s.control.onEngineList(s.now, true,
                 ids(ENGINES).stream().map(id -> ScriptedFront.engine(id, EngineStatus.READY, "large", 0)).toList());
         return s;
     }
--- a/src/test/java/cairnline/control/ScriptedFront.java
+++ b/src/test/java/cairnline/control/ScriptedFront.java
@@ -112,11 +112,11 @@
         for (String id : ids) {
             all.add(engine(id, EngineStatus.READY, "plain", 0));
         }
-        control.engines(now, true, all);
+        control.onEngineList(now, true, all);
     }
 
     void change(Engine engine) {
-        control.engines(now, false, List.of(engine));
+        control.onEngineList(now, false, List.of(engine));
     }
 
     void take(String id, String type) {
