--- a/src/main/java/cairnline/simhost/BatchProcessor.java
+++ b/src/main/java/cairnline/simhost/BatchProcessor.java
@@ -168,7 +168,7 @@
     private void registry(ControlApi control, String line, long now) {
         long kind = in.whole("kind");
         if (kind == 0) {
-            control.enginesUnreachable(now);
+            control.onDiscoveryUnreachable(now);
             return;
         }
         if (kind < 2 || kind > 4) {
