--- a/src/main/java/cairnline/routing/Core.java
+++ b/src/main/java/cairnline/routing/Core.java
@@ -253,7 +253,7 @@
         trace.step("taken", r, "", now, r.type());
         timers.at(deadline + limits.routing().answerMargin() / 2, () -> overdue(o));
         boolean ordered = r.order() != null;
-        tell(() -> control.request(moduleNow(), new ControlApi.Request(o.id, r.type(), "", ordered,
+        tell(() -> control.onRequest(moduleNow(), new ControlApi.Request(o.id, r.type(), "", ordered,
                 ordered ? r.order() : 0, Clock.toModule(Math.max(1, deadline - now)), Clock.toModule(r.work()),
                 r.memory(), r.tables(), false)));
     }
--- a/src/main/java/cairnline/simhost/BatchProcessor.java
+++ b/src/main/java/cairnline/simhost/BatchProcessor.java
@@ -112,7 +112,7 @@
     private void deliver(ControlApi control, String name, String line, long now) {
         switch (name) {
             case "REGISTRY" -> registry(control, line, now);
-            case "NEW_REQUEST" -> control.request(now, request());
+            case "NEW_REQUEST" -> control.onRequest(now, request());
             case "STREAMING" -> control.streaming(now, in.text("msgId"), (int) in.whole("attempt", 0));
             case "RETURNED" -> control.outcome(now, outcome(line));
             case "STATUS_NOTE" -> note(control, line, now);
--- a/src/test/java/cairnline/control/FleetTest.java
+++ b/src/test/java/cairnline/control/FleetTest.java
@@ -335,9 +335,9 @@
         s.take("a", "small");
         s.end("a", 0, s.engineOf("a"), AttemptStatus.OK, 100 * MS);
         s.fresh();
-        s.control.request(s.now, new ControlApi.Request("b", "small", "one", false, 0, 2 * SECOND, 0, 0, -1, true));
+        s.control.onRequest(s.now, new ControlApi.Request("b", "small", "one", false, 0, 2 * SECOND, 0, 0, -1, true));
         assertEquals(List.of("refuse b"), s.fresh());
-        s.control.request(s.now, new ControlApi.Request("c", "small", "one", false, 0, 3 * SECOND, 0, 0, -1, true));
+        s.control.onRequest(s.now, new ControlApi.Request("c", "small", "one", false, 0, 3 * SECOND, 0, 0, -1, true));
         assertEquals(1, s.count("send c"), "nothing tells that this one is late");
     }
 
--- a/src/test/java/cairnline/control/PlacementTest.java
+++ b/src/test/java/cairnline/control/PlacementTest.java
@@ -75,7 +75,7 @@
         for (int f = 0; f < FRONTS; f++) {
             ScriptedFront s = front(site, 70 + f);
             for (int i = 0; i < each; i++) {
-                s.control.request(s.now, new Request("q" + i, type, "one", false, 0, 3 * SECOND, 0, 0, 5, false));
+                s.control.onRequest(s.now, new Request("q" + i, type, "one", false, 0, 3 * SECOND, 0, 0, 5, false));
                 used.add(s.engineOf("q" + i));
             }
         }
@@ -107,7 +107,7 @@
         ScriptedFront s = front(site, 3);
         Map<String, Integer> sent = new HashMap<>();
         for (int i = 0; i < 120; i++) {
-            s.control.request(s.now, new Request("q" + i, "small", "one", false, 0, 3 * SECOND, 0, 0, 5, false));
+            s.control.onRequest(s.now, new Request("q" + i, "small", "one", false, 0, 3 * SECOND, 0, 0, 5, false));
             if (s.count("send q" + i + " ") > 0) {
                 sent.merge(s.engineOf("q" + i), 1, Integer::sum);
             }
@@ -123,7 +123,7 @@
         Map<String, Integer> sent = new HashMap<>();
         for (int f = 0; f < site.fronts; f++) {
             ScriptedFront s = front(site, 500 + f);
-            s.control.request(s.now, new Request("q", "small", "one", false, 0, 3 * SECOND, 0, 0, 5, false));
+            s.control.onRequest(s.now, new Request("q", "small", "one", false, 0, 3 * SECOND, 0, 0, 5, false));
             sent.merge(s.engineOf("q"), 1, Integer::sum);
         }
         assertTrue(Collections.max(sent.values()) <= 25, "queries by engine: " + sent);
--- a/src/test/java/cairnline/control/RulesTest.java
+++ b/src/test/java/cairnline/control/RulesTest.java
@@ -335,7 +335,7 @@
             // In one window near the end of the time to warm up, far more is asked than a cold engine may get.
             script.now = start + 9 * ScriptedFront.SECOND;
             for (int i = 0; i < 100; i++) {
-                script.control.request(script.now, new Request("q" + i, "small", "one", false, 0, 3 * ScriptedFront.SECOND,
+                script.control.onRequest(script.now, new Request("q" + i, "small", "one", false, 0, 3 * ScriptedFront.SECOND,
                         500 * ScriptedFront.MS, 0, -1, false));
             }
             sent[sure] = script.count("send");
@@ -352,7 +352,7 @@
         script.change(new Engine("e", EngineStatus.READY, "north", "plain", 0, 1, script.now, false));
         double bound = 0.5 * 2 * 0.8 * 8 * 2;
         for (int i = 0; i < 20; i++) {
-            script.control.request(script.now, new Request("b" + i, "big", "one", false, 0, 15 * ScriptedFront.SECOND,
+            script.control.onRequest(script.now, new Request("b" + i, "big", "one", false, 0, 15 * ScriptedFront.SECOND,
                     5 * ScriptedFront.SECOND, 0, -1, false));
         }
         // Each counts as 6 s at least: what is usual for its class before any has been heard of.
--- a/src/test/java/cairnline/control/ScriptedFront.java
+++ b/src/test/java/cairnline/control/ScriptedFront.java
@@ -124,17 +124,17 @@
     }
 
     void take(String id, String type, long budget) {
-        control.request(now, new Request(id, type, "one", false, 0, budget, 0, 0, -1, false));
+        control.onRequest(now, new Request(id, type, "one", false, 0, budget, 0, 0, -1, false));
     }
 
     /** A request whose work and tables the front was told. */
     void takeTold(String id, String type, long work) {
-        control.request(now, new Request(id, type, "one", false, 0, 15 * SECOND, work, 0, -1, false));
+        control.onRequest(now, new Request(id, type, "one", false, 0, 15 * SECOND, work, 0, -1, false));
     }
 
     /** A request that tells how much memory it needs. */
     void takeWithMemory(String id, String type, double memory) {
-        control.request(now, new Request(id, type, "one", false, 0, 15 * SECOND, 0, memory, -1, false));
+        control.onRequest(now, new Request(id, type, "one", false, 0, 15 * SECOND, 0, memory, -1, false));
     }
 
     void note(String id, int attempt, StatusKind kind, double amount) {
@@ -142,11 +142,11 @@
     }
 
     void takeOf(String tenant, String id, String type) {
-        control.request(now, new Request(id, type, tenant, false, 0, 15 * SECOND, 0, 0, -1, false));
+        control.onRequest(now, new Request(id, type, tenant, false, 0, 15 * SECOND, 0, 0, -1, false));
     }
 
     void takeKeyed(String id, long key) {
-        control.request(now, new Request(id, "small", "one", true, key, 3 * SECOND, 0, 0, -1, false));
+        control.onRequest(now, new Request(id, "small", "one", true, key, 3 * SECOND, 0, 0, -1, false));
     }
 
     void end(String id, int attempt, String engine, AttemptStatus end, long rtt) {
