--- a/src/main/java/cairnline/simhost/BatchProcessor.java
+++ b/src/main/java/cairnline/simhost/BatchProcessor.java
@@ -113,7 +113,7 @@
         switch (name) {
             case "REGISTRY" -> registry(control, line, now);
             case "NEW_REQUEST" -> control.onRequest(now, request());
-            case "STREAMING" -> control.streaming(now, in.text("msgId"), (int) in.whole("attempt", 0));
+            case "STREAMING" -> control.onStreaming(now, in.text("msgId"), (int) in.whole("attempt", 0));
             case "RETURNED" -> control.outcome(now, outcome(line));
             case "STATUS_NOTE" -> note(control, line, now);
             case "ABANDONED" -> control.abandoned(now, in.text("msgId"));
