--- a/src/main/java/cairnline/routing/Core.java
+++ b/src/main/java/cairnline/routing/Core.java
@@ -348,7 +348,7 @@
         }
         boolean last = o.answered;
         forgetIfOver(o);
-        tell(() -> control.outcome(moduleNow(), new Outcome(o.id, a.number(), a.engine(), result.end(),
+        tell(() -> control.onOutcome(moduleNow(), new Outcome(o.id, a.number(), a.engine(), result.end(),
                 Clock.toModule(now - a.sentAt()), last, Clock.toModule(result.work()), result.memory(), Load.NONE)));
     }
 
--- a/src/main/java/cairnline/simhost/BatchProcessor.java
+++ b/src/main/java/cairnline/simhost/BatchProcessor.java
@@ -114,7 +114,7 @@
             case "REGISTRY" -> registry(control, line, now);
             case "NEW_REQUEST" -> control.onRequest(now, request());
             case "STREAMING" -> control.onStreaming(now, in.text("msgId"), (int) in.whole("attempt", 0));
-            case "RETURNED" -> control.outcome(now, outcome(line));
+            case "RETURNED" -> control.onOutcome(now, outcome(line));
             case "STATUS_NOTE" -> note(control, line, now);
             case "ABANDONED" -> control.abandoned(now, in.text("msgId"));
             case "TIMER" -> control.timer(now, in.whole("handle"));
--- a/src/test/java/cairnline/control/DecisionsTest.java
+++ b/src/test/java/cairnline/control/DecisionsTest.java
@@ -188,7 +188,7 @@
         Load full = new Load(Double.NaN, Double.NaN, 60, 1.5, Double.NaN);
         s.take("a", "small");
         String first = s.engineOf("a");
-        s.control.outcome(s.now, new Outcome("a", 0, first, AttemptStatus.OK, 50 * MS, true, 0, 0, full));
+        s.control.onOutcome(s.now, new Outcome("a", 0, first, AttemptStatus.OK, 50 * MS, true, 0, 0, full));
         s.take("b", "small");
         assertNotEquals(first, s.engineOf("b"));
         s.pass(60 * SECOND);
@@ -282,7 +282,7 @@
             for (String each : List.of(id, "also" + id)) {
                 String at = s.engineOf(each);
                 Load load = i == 19 && at.equals(first) ? busy : idle;
-                s.control.outcome(s.now, new Outcome(each, 0, at, AttemptStatus.OK, 50 * MS, true, 0, 0, load));
+                s.control.onOutcome(s.now, new Outcome(each, 0, at, AttemptStatus.OK, 50 * MS, true, 0, 0, load));
             }
         }
         for (int i = 0; i < 4; i++) {
--- a/src/test/java/cairnline/control/FleetTest.java
+++ b/src/test/java/cairnline/control/FleetTest.java
@@ -294,7 +294,7 @@
         String jammed = s.engineOf("a");
         s.pass(50 * MS);
         Load load = new Load(0.2, 0, Double.NaN, 2, 0.2);
-        s.control.outcome(s.now, new Outcome("a", 0, jammed, AttemptStatus.OK, 50 * MS, true, 0, 0, load));
+        s.control.onOutcome(s.now, new Outcome("a", 0, jammed, AttemptStatus.OK, 50 * MS, true, 0, 0, load));
         for (int i = 0; i < 6; i++) {
             s.take("b" + i, "small");
             assertNotEquals(jammed, s.engineOf("b" + i));
--- a/src/test/java/cairnline/control/ScriptedFront.java
+++ b/src/test/java/cairnline/control/ScriptedFront.java
@@ -150,7 +150,7 @@
     }
 
     void end(String id, int attempt, String engine, AttemptStatus end, long rtt) {
-        control.outcome(now, new Outcome(id, attempt, engine, end, rtt, end == AttemptStatus.OK, 0, 0, Load.NONE));
+        control.onOutcome(now, new Outcome(id, attempt, engine, end, rtt, end == AttemptStatus.OK, 0, 0, Load.NONE));
     }
 
     void progress(String id, int attempt, String engine, double done) {
