--- a/src/main/java/cairnline/routing/Core.java
+++ b/src/main/java/cairnline/routing/Core.java
@@ -142,7 +142,7 @@
         actor.put(() -> {
             Out it = out.get(attempt);
             if (it != null) {
-                tell(() -> control.note(moduleNow(),
+                tell(() -> control.onStatusUpdate(moduleNow(),
                         new StatusUpdate(it.owner.id, attempt.number(), attempt.engine(), kind, amount)));
             }
         });
--- a/src/main/java/cairnline/simhost/BatchProcessor.java
+++ b/src/main/java/cairnline/simhost/BatchProcessor.java
@@ -218,7 +218,7 @@
             default -> null;
         };
         if (kind != null) {
-            control.note(now, new StatusUpdate(in.text("msgId"), (int) in.whole("attempt", 0), in.text("engine"), kind, amount));
+            control.onStatusUpdate(now, new StatusUpdate(in.text("msgId"), (int) in.whole("attempt", 0), in.text("engine"), kind, amount));
         }
     }
 
--- a/src/test/java/cairnline/control/ScriptedFront.java
+++ b/src/test/java/cairnline/control/ScriptedFront.java
@@ -138,7 +138,7 @@
     }
 
     void note(String id, int attempt, StatusKind kind, double amount) {
-        control.note(now, new StatusUpdate(id, attempt, engineOf(id), kind, amount));
+        control.onStatusUpdate(now, new StatusUpdate(id, attempt, engineOf(id), kind, amount));
     }
 
     void takeOf(String tenant, String id, String type) {
@@ -154,7 +154,7 @@
     }
 
     void progress(String id, int attempt, String engine, double done) {
-        control.note(now, new StatusUpdate(id, attempt, engine, StatusKind.PROGRESS, done));
+        control.onStatusUpdate(now, new StatusUpdate(id, attempt, engine, StatusKind.PROGRESS, done));
     }
 
     /** Passes time, with the timers that come due. */
