--- a/src/main/java/cairnline/routing/Core.java
+++ b/src/main/java/cairnline/routing/Core.java
@@ -264,7 +264,7 @@
             return;
         }
         close(o);
-        tell(() -> control.abandoned(moduleNow(), o.id));
+        tell(() -> control.onAbandoned(moduleNow(), o.id));
         if (o.detached && settings.permissions().cancel()) {
             // The module has been told before, when what was out might still be answered.
             List.copyOf(o.out).forEach(attempt -> timers.at(now, () -> giveUp(attempt, AttemptStatus.CANCELLED)));
@@ -280,14 +280,14 @@
         if (o.out.isEmpty()) {
             answer(o, o.unserved("its client sends no more", limits.routing().retryAfter()));
         }
-        tell(() -> control.abandoned(moduleNow(), o.id));
+        tell(() -> control.onAbandoned(moduleNow(), o.id));
     }
 
     /** Answers all that is open: the process may be killed soon. */
     private void answerAll() {
         for (OpenRequest o : List.copyOf(byRequest.values())) {
             answer(o, o.unserved(STOPS, limits.routing().retryAfter()));
-            tell(() -> control.abandoned(moduleNow(), o.id));
+            tell(() -> control.onAbandoned(moduleNow(), o.id));
         }
     }
 
@@ -295,7 +295,7 @@
     private void overdue(OpenRequest o) {
         if (!o.answered) {
             answer(o, Answer.failed("no answer in time", true));
-            tell(() -> control.abandoned(moduleNow(), o.id));
+            tell(() -> control.onAbandoned(moduleNow(), o.id));
         }
     }
 
@@ -536,7 +536,7 @@
         for (OpenRequest o : List.copyOf(byRequest.values())) {
             if (o.attempts.isEmpty()) {
                 answer(o, Answer.refused(NO_ENGINE, comeBack));
-                tell(() -> control.abandoned(moduleNow(), o.id));
+                tell(() -> control.onAbandoned(moduleNow(), o.id));
             }
         }
     }
--- a/src/test/java/cairnline/control/RulesTest.java
+++ b/src/test/java/cairnline/control/RulesTest.java
@@ -38,7 +38,7 @@
         s.pass(3 * SECOND);
         s.fresh();
         s.end("a", 0, "e1", AttemptStatus.TIMEOUT, 3 * SECOND);
-        s.control.abandoned(s.now, "a");
+        s.control.onAbandoned(s.now, "a");
         assertEquals(List.of("fail a"), s.fresh());
     }
 
@@ -48,7 +48,7 @@
         s.list("e1");
         s.take("a", "small");
         s.fresh();
-        s.control.abandoned(s.now, "a");
+        s.control.onAbandoned(s.now, "a");
         s.end("a", 0, "e1", AttemptStatus.ERROR, MS);
         assertEquals(List.of(), s.fresh());
     }
@@ -201,7 +201,7 @@
         s.takeKeyed("c", 8);
         assertEquals(0, s.count("send b"));
         assertEquals(1, s.count("send c"));
-        s.control.abandoned(s.now, "a");
+        s.control.onAbandoned(s.now, "a");
         assertEquals(0, s.count("send b"), "an attempt of the first is still out");
         s.end("a", 0, s.engineOf("a"), AttemptStatus.TIMEOUT, MS);
         s.pass(450 * MS);
