--- a/src/main/java/cairnline/routing/Core.java
+++ b/src/main/java/cairnline/routing/Core.java
@@ -433,7 +433,7 @@
 
     @Override
     public void wake(long delay, long handle) {
-        timers.at(now + Clock.fromModule(delay), () -> tell(() -> control.timer(moduleNow(), handle)));
+        timers.at(now + Clock.fromModule(delay), () -> tell(() -> control.onTimer(moduleNow(), handle)));
     }
 
     @Override
--- a/src/main/java/cairnline/simhost/BatchProcessor.java
+++ b/src/main/java/cairnline/simhost/BatchProcessor.java
@@ -117,7 +117,7 @@
             case "RETURNED" -> control.onOutcome(now, outcome(line));
             case "STATUS_NOTE" -> note(control, line, now);
             case "ABANDONED" -> control.onAbandoned(now, in.text("msgId"));
-            case "TIMER" -> control.timer(now, in.whole("handle"));
+            case "TIMER" -> control.onTimer(now, in.whole("handle"));
             case "ECHO" -> control.probed(now, in.text("engine"), end(line) == AttemptStatus.OK, in.whole("rttNs", 0), load(line));
             case "PEER" -> control.peer(now, (int) in.whole("sender"), bytes(line));
             default -> throw new WireException("unknown event " + name, line);
--- a/src/test/java/cairnline/control/FleetTest.java
+++ b/src/test/java/cairnline/control/FleetTest.java
@@ -368,7 +368,7 @@
         s.list("e1", "e2");
         s.take("a", "big");
         s.now += 2 * SECOND;
-        s.control.timer(s.now, 1);
+        s.control.onTimer(s.now, 1);
         s.progress("a", 0, s.engineOf("a"), 0.5);
         assertEquals(0, s.count("cancel"));
     }
--- a/src/test/java/cairnline/control/RulesTest.java
+++ b/src/test/java/cairnline/control/RulesTest.java
@@ -314,7 +314,7 @@
         for (int i = 0; i < 60; i++) {
             s.take("a" + i, "small");
         }
-        s.control.timer(s.now, 1);
+        s.control.onTimer(s.now, 1);
         List<String> sent = s.fresh();
         sent.removeIf(a -> !a.startsWith("send"));
         assertTrue(sent.stream().noneMatch(a -> a.endsWith(" e1")), "e1 drains");
--- a/src/test/java/cairnline/control/ScriptedFront.java
+++ b/src/test/java/cairnline/control/ScriptedFront.java
@@ -167,7 +167,7 @@
             }
             timers.remove(next);
             now = Math.max(now, next.due);
-            control.timer(now, next.handle);
+            control.onTimer(now, next.handle);
         }
         now = end;
     }
