--- a/src/main/java/cairnline/routing/Core.java
+++ b/src/main/java/cairnline/routing/Core.java
@@ -455,7 +455,7 @@
         } else {
             membership.probeEnded(now, engineId);
         }
-        tell(() -> control.probed(moduleNow(), engineId, report != null, Clock.toModule(now - askedAt),
+        tell(() -> control.onProbeResult(moduleNow(), engineId, report != null, Clock.toModule(now - askedAt),
                 LoadReport.of(report)));
     }
 
--- a/src/test/java/cairnline/control/FleetTest.java
+++ b/src/test/java/cairnline/control/FleetTest.java
@@ -164,7 +164,7 @@
             }
         }
         if (probed) {
-            s.control.probed(s.now, "e1", true, MS, Load.NONE);
+            s.control.onProbeResult(s.now, "e1", true, MS, Load.NONE);
         }
         s.actions.clear();
         for (int i = 0; i < 40; i++) {
--- a/src/test/java/cairnline/control/ManyFrontsTest.java
+++ b/src/test/java/cairnline/control/ManyFrontsTest.java
@@ -151,7 +151,7 @@
         for (ScriptedFront s : all) {
             for (int i = 0; i < ENGINES; i++) {
                 double busy = i == 7 ? 0.1 : 0.6;
-                s.control.probed(s.now, "e" + i, true, MS, new Load(busy, 0, i == 7 ? 0 : 14, 0.3, 0.3));
+                s.control.onProbeResult(s.now, "e" + i, true, MS, new Load(busy, 0, i == 7 ? 0 : 14, 0.3, 0.3));
             }
             s.take("a", "small");
             idle += s.engineOf("a").equals("e7") ? 1 : 0;
@@ -168,7 +168,7 @@
         s.control.onEngineList(s.now, true, large(30));
         for (int round = 0; round < 3; round++) {
             for (int i = 0; i < 20; i++) {
-                s.control.probed(s.now, "e" + i, true, MS, new Load(0.1, 0, 2, 2.5, 0.1));
+                s.control.onProbeResult(s.now, "e" + i, true, MS, new Load(0.1, 0, 2, 2.5, 0.1));
             }
         }
         for (int i = 0; i < 12; i++) {
