--- a/src/main/java/cairnline/simhost/BatchProcessor.java
+++ b/src/main/java/cairnline/simhost/BatchProcessor.java
@@ -119,7 +119,7 @@
             case "ABANDONED" -> control.onAbandoned(now, in.text("msgId"));
             case "TIMER" -> control.onTimer(now, in.whole("handle"));
             case "ECHO" -> control.onProbeResult(now, in.text("engine"), end(line) == AttemptStatus.OK, in.whole("rttNs", 0), load(line));
-            case "PEER" -> control.peer(now, (int) in.whole("sender"), bytes(line));
+            case "PEER" -> control.onPeerMessage(now, (int) in.whole("sender"), bytes(line));
             default -> throw new WireException("unknown event " + name, line);
         }
     }
