--- a/src/main/java/cairnline/routing/Core.java
+++ b/src/main/java/cairnline/routing/Core.java
@@ -401,7 +401,7 @@
     }
 
     @Override
-    public void terms(String id, double memory, int priority) {
+    public void setAttemptOptions(String id, double memory, int priority) {
         OpenRequest o = open.get(id);
         if (o == null || o.priority == priority) {
             return;
--- a/src/main/java/cairnline/simhost/ActionWriter.java
+++ b/src/main/java/cairnline/simhost/ActionWriter.java
@@ -43,7 +43,7 @@
     }
 
     @Override
-    public void terms(String id, double memory, int priority) {
+    public void setAttemptOptions(String id, double memory, int priority) {
         line("EQUIP", id).append(" memory=").append(Math.round(memory)).append(" importance=").append(priority)
                 .append('\n');
     }
--- a/src/test/java/cairnline/control/ScriptedFront.java
+++ b/src/test/java/cairnline/control/ScriptedFront.java
@@ -205,7 +205,7 @@
     }
 
     @Override
-    public void terms(String id, double memory, int priority) {
+    public void setAttemptOptions(String id, double memory, int priority) {
         actions.add("terms " + id + " " + Math.round(memory) + " " + priority);
     }
 
