--- a/src/main/java/cairnline/routing/Core.java
+++ b/src/main/java/cairnline/routing/Core.java
@@ -432,7 +432,7 @@
     }
 
     @Override
-    public void wake(long delay, long handle) {
+    public void setTimer(long delay, long handle) {
         timers.at(now + Clock.fromModule(delay), () -> tell(() -> control.onTimer(moduleNow(), handle)));
     }
 
--- a/src/main/java/cairnline/simhost/ActionWriter.java
+++ b/src/main/java/cairnline/simhost/ActionWriter.java
@@ -49,7 +49,7 @@
     }
 
     @Override
-    public void wake(long delay, long handle) {
+    public void setTimer(long delay, long handle) {
         line("WAKE_ME").append(" sleepForNs=").append(delay).append(" handle=").append(handle).append('\n');
     }
 
--- a/src/test/java/cairnline/control/ScriptedFront.java
+++ b/src/test/java/cairnline/control/ScriptedFront.java
@@ -210,7 +210,7 @@
     }
 
     @Override
-    public void wake(long delay, long handle) {
+    public void setTimer(long delay, long handle) {
         wakes++;
         timers.add(new Timer(now + delay, handle));
     }
