--- a/src/main/java/cairnline/routing/Core.java
+++ b/src/main/java/cairnline/routing/Core.java
@@ -460,7 +460,7 @@
     }
 
     @Override
-    public void tell(byte[] message) {
+    public void broadcast(byte[] message) {
         // Workload managers share nothing on this wire, and the settings forbid it to the module.
     }
 
--- a/src/main/java/cairnline/simhost/ActionWriter.java
+++ b/src/main/java/cairnline/simhost/ActionWriter.java
@@ -59,7 +59,7 @@
     }
 
     @Override
-    public void tell(byte[] message) {
+    public void broadcast(byte[] message) {
         String text = message.length == 0 ? "-" : Base64.getEncoder().encodeToString(message);
         line("NOTIFY").append(" peer=all contents=").append(text).append('\n');
     }
--- a/src/test/java/cairnline/control/ScriptedFront.java
+++ b/src/test/java/cairnline/control/ScriptedFront.java
@@ -221,7 +221,7 @@
     }
 
     @Override
-    public void tell(byte[] message) {
+    public void broadcast(byte[] message) {
         actions.add("tell " + message.length);
     }
 
