--- a/src/main/java/cairnline/routing/Core.java
+++ b/src/main/java/cairnline/routing/Core.java
@@ -465,7 +465,7 @@
     }
 
     @Override
-    public void follow() {
+    public void subscribe() {
         // The control feed is followed from the start.
     }
 
--- a/src/main/java/cairnline/simhost/ActionWriter.java
+++ b/src/main/java/cairnline/simhost/ActionWriter.java
@@ -65,7 +65,7 @@
     }
 
     @Override
-    public void follow() {
+    public void subscribe() {
         line("FOLLOW").append(" want=1\n");
     }
 
--- a/src/test/java/cairnline/control/ScriptedFront.java
+++ b/src/test/java/cairnline/control/ScriptedFront.java
@@ -226,7 +226,7 @@
     }
 
     @Override
-    public void follow() {
+    public void subscribe() {
         actions.add("follow");
     }
 
