--- a/src/main/java/cairnline/program/Configuration.java
+++ b/src/main/java/cairnline/program/Configuration.java
@@ -261,7 +261,7 @@
 
     /** Engines tell of each request in every period; where they don't, silence says nothing. */
     private static long silence(Fields fields) {
-        long period = fields.whole("specifics.notePeriodNs", 0) / NANOS_PER_MICRO;
+        long period = fields.integer("specifics.notePeriodNs", 0) / NANOS_PER_MICRO;
         return period == 0 ? Clock.ofMillis(3_600_000) : period * 5 / 2 + Clock.ofMillis(200);
     }
 
@@ -277,19 +277,19 @@
         if (sockets < SOCKETS_LEAST) {
             throw new ConfigurationException("limits.sockets", "is less than " + SOCKETS_LEAST);
         }
-        long connect = fields.whole("permissions.connectTimeoutNs", 250_000_000) / NANOS_PER_MICRO;
-        long idleClose = fields.whole("permissions.idleCloseNs", 30_000_000_000L) / NANOS_PER_MICRO;
-        long drainGrace = fields.whole("safety.drainGraceNs", 1_000_000_000) / NANOS_PER_MICRO;
+        long connect = fields.integer("permissions.connectTimeoutNs", 250_000_000) / NANOS_PER_MICRO;
+        long idleClose = fields.integer("permissions.idleCloseNs", 30_000_000_000L) / NANOS_PER_MICRO;
+        long drainGrace = fields.integer("safety.drainGraceNs", 1_000_000_000) / NANOS_PER_MICRO;
         long answerMargin = Clock.ofMillis(50);
         Limits.Routing routing = new Limits.Routing(4_096, 512 * 1_024,
-                (int) Math.min(4_096, fields.whole("permissions.maxOpen", 4_096)), answerMargin, drainGrace / 2,
+                (int) Math.min(4_096, fields.integer("permissions.maxOpen", 4_096)), answerMargin, drainGrace / 2,
                 Clock.ofMillis(1_000));
         Limits.Connections connections = new Limits.Connections(256, Clock.ofMillis(500), 65_536, Clock.ofMillis(20_000),
                 connect);
         Limits.Clients clients = new Limits.Clients(clients(sockets), 32, 8 << 20, Clock.ofMillis(4_500),
                 Clock.ofMillis(250), Clock.ofMillis(2_000), Clock.ofMillis(2_500), 262_144);
         Limits.Engines engines = new Limits.Engines(idleClose * 2 / 3, 8, engines(sockets),
-                (int) fields.whole("permissions.streamsPerConn", 100), 4, silence(fields), Clock.ofMillis(500), 8_192, 6_000,
+                (int) fields.integer("permissions.streamsPerConn", 100), 4, silence(fields), Clock.ofMillis(500), 8_192, 6_000,
                 64, 48_000);
         Limits.Feed feed = new Limits.Feed(Clock.ofMillis(1_000), Clock.ofMillis(200), Clock.ofMillis(2_300),
                 Clock.ofMillis(250), 4 << 20);
