--- a/src/main/java/cairnline/control/Control.java
+++ b/src/main/java/cairnline/control/Control.java
@@ -119,10 +119,10 @@
         }
         settings.tenants().forEach(tenant -> shares.put(tenant.name(), tenant.share()));
         if (settings.subscriptionRequired()) {
-            out.follow();
+            out.subscribe();
         }
         if (settings.permissions().probes()) {
-            out.wake(PROBE_TICK, TIMER_PROBE);
+            out.setTimer(PROBE_TICK, TIMER_PROBE);
         }
     }
 
@@ -136,12 +136,12 @@
 
     private static boolean placed(RequestClassSettings type, EngineEstimate h) {
         return (type.zones().isEmpty() || type.zones().contains(h.zone))
-                && (type.kinds().isEmpty() || type.kinds().contains(h.kind));
+                && (type.machineTypes().isEmpty() || type.machineTypes().contains(h.kind));
     }
 
     private boolean attemptAllowed(Query q) {
-        return q.attempts.size() < settings.permissions().attempts()
-                && (q.attemptsOut == 0 || settings.permissions().secondCopies())
+        return q.attempts.size() < settings.permissions().maxAttempts()
+                && (q.attemptsOut == 0 || settings.permissions().concurrentAttempts())
                 && (q.attempts.isEmpty() || rationLeft());
     }
 
@@ -163,8 +163,8 @@
         if (q.firstDoubt == null || q.kin.type.retrySafety() == RetrySafety.SAFE) {
             return true;
         }
-        return q.kin.type.retrySafety() == RetrySafety.KEYED && q.firstDoubt.sharesKeys(h, q.kin.type.scope())
-                && now < q.firstDoubtAt + q.kin.type.window() - WINDOW_MARGIN;
+        return q.kin.type.retrySafety() == RetrySafety.KEYED && q.firstDoubt.sharesKeys(h, q.kin.type.deduplicationScope())
+                && now < q.firstDoubtAt + q.kin.type.deduplicationWindow() - WINDOW_MARGIN;
     }
 
     /**
@@ -205,7 +205,7 @@
             return;
         }
         boolean harmless = q.firstDoubt == null || q.kin.type.retrySafety() == RetrySafety.SAFE
-                || q.kin.type.retrySafety() == RetrySafety.KEYED && q.kin.type.scope() == DeduplicationScope.ALL;
+                || q.kin.type.retrySafety() == RetrySafety.KEYED && q.kin.type.deduplicationScope() == DeduplicationScope.ALL;
         if (refuse && harmless) {
             Permissions may = settings.permissions();
             out.refuse(q.id, may.retryAfter() ? Math.min(may.maxRetryAfter(), (long) q.kin.usualDelay()) : 0);
@@ -237,20 +237,20 @@
     // ---- The ordinary path ----
 
     @Override
-    public void request(long time, Request r) {
+    public void onRequest(long time, Request r) {
         tick(time);
         if (queries.containsKey(r.id())) {
             throw new IllegalArgumentException("request " + r.id() + " is already open");
         }
-        RequestClass kin = kinds.get(r.type());
+        RequestClass kin = kinds.get(r.requestClass());
         if (kin == null) {
-            throw new IllegalArgumentException("request " + r.id() + " is of unknown class " + r.type());
+            throw new IllegalArgumentException("request " + r.id() + " is of unknown class " + r.requestClass());
         }
         double work = kin.workOf(r);
         Query q = new Query(r, kin, now, sequence++, work, kin.sizeOf(work), waited(r, kin));
         kin.asked++;
         probes.asked(now);
-        kin.patience = Math.max(kin.patience, r.budget());
+        kin.patience = Math.max(kin.patience, r.timeout());
         q.overShare = overShare(r.tenant());
         queries.put(q.id, q);
         if (settings.safetyRules().retryAllowance() >= 0) {
@@ -272,8 +272,8 @@
 
     /** How long the client of a repeat has waited at least: it gives less time once little is left. */
     private static long waited(Request r, RequestClass kin) {
-        return r.repeat() && r.budget() < kin.patience - ANSWER_MARGIN
-                ? Math.max(0, kin.type.deadline() - r.budget()) : 0;
+        return r.retry() && r.timeout() < kin.patience - ANSWER_MARGIN
+                ? Math.max(0, kin.type.deadline() - r.timeout()) : 0;
     }
 
     /** Classes that are cheaper than the mean query go first on short cores: they delay others least. */
@@ -283,12 +283,12 @@
             work += each.asked * each.meanWork;
             asked += each.asked;
         }
-        return !kin.type.holdsTables() && kin.meanWork * asked < work;
+        return !kin.type.locksTables() && kin.meanWork * asked < work;
     }
 
     /** Loads go before others only where these wait for them: else they take the time of what earns more. */
     private int priority(RequestClass kin) {
-        boolean awaited = kin.type.holdsTables() && settings.requestClasses().stream().anyMatch(RequestClassSettings::waitsForTableLock);
+        boolean awaited = kin.type.locksTables() && settings.requestClasses().stream().anyMatch(RequestClassSettings::waitsForTableLock);
         return awaited ? PRIORITY_HOLDER : light(kin) ? PRIORITY_LIGHT : PRIORITY_USUAL;
     }
 
@@ -334,7 +334,7 @@
         Choice best = null;
         double least = 0;
         boolean roomy = false;
-        int most = q.tables < 0 || q.kin.type.holdsTables() ? sample : sample * SPILL_SAMPLES;
+        int most = q.tables < 0 || q.kin.type.locksTables() ? sample : sample * SPILL_SAMPLES;
         for (int i = 0, seen = 0; i < ranked.size() && (seen < sample || !roomy && seen < most); i++) {
             Collections.swap(ranked, i, next(q, i));
             EngineEstimate h = ranked.get(i);
@@ -359,7 +359,7 @@
         int drawn = from + random.nextInt(ranked.size() - from);
         if (q.tables < 0) {
             return drawn;
-        } else if (q.kin.type.holdsTables()) {
+        } else if (q.kin.type.locksTables()) {
             // Loads of a group stand behind each other too: they are spread, only not where its queries meet.
             int other = from + random.nextInt(ranked.size() - from);
             return Placement.before(ranked.get(drawn).seed, ranked.get(other).seed, q.tables) ? other : drawn;
@@ -375,7 +375,7 @@
         double others = q.kin.usualDelay() * h.pace.factor(now) * crowd / q.kin.meanCrowd;
         double own = p.t > 0 ? p.predict(now, q.kin.rho, crowd, q.kin.meanCrowd) : others;
         double base = others * StrictMath.pow(own / others, p.trust(now));
-        boolean waits = q.kin.type.holdsTables() || q.kin.type.waitsForTableLock();
+        boolean waits = q.kin.type.locksTables() || q.kin.type.waitsForTableLock();
         return base * q.size * (waits && h.holding.containsKey(q.tables) ? HELD_FACTOR : 1);
     }
 
@@ -418,10 +418,10 @@
             h.coldSends.add(now, coldWeight(q));
         }
         Permissions may = settings.permissions();
-        a.granted = !may.memory() ? 0 : q.memory * q.kin.memoryRatio;
+        a.granted = !may.memoryGrants() ? 0 : q.memory * q.kin.memoryRatio;
         int priority = priority(q.kin);
         if (may.priority() && priority != PRIORITY_USUAL || a.granted > 0) {
-            out.terms(q.id, a.granted, priority);
+            out.setAttemptOptions(q.id, a.granted, priority);
         }
         out.send(q.id, h.id, timeOut(q));
         arm();
@@ -434,7 +434,7 @@
     private long timeOut(Query q) {
         RequestClassSettings type = q.kin.type;
         boolean worthless = type.retrySafety() == RetrySafety.SAFE && type.lateWorth() <= 0;
-        long left = 2 * q.aimAt - q.askedAt - type.aim() - now;
+        long left = 2 * q.aimAt - q.askedAt - type.latencyTarget() - now;
         return settings.permissions().cancel() && settings.clientsMarkRetries() && worthless
                 && now + left < q.deadline - ANSWER_MARGIN ? Math.max(MS, left) : 0;
     }
@@ -442,7 +442,7 @@
     /** Whether an attempt may be given up for another one. */
     private boolean mayGiveUp(Query q) {
         return !q.closed && q.kin.type.retrySafety() != RetrySafety.UNSAFE && settings.permissions().cancel()
-                && q.attempts.size() < settings.permissions().attempts() && rationLeft();
+                && q.attempts.size() < settings.permissions().maxAttempts() && rationLeft();
     }
 
     // ---- Held queries ----
@@ -472,12 +472,12 @@
                 : Math.max(now + 1, Math.min(now + SWEEP, unsent.first().deadline - ANSWER_MARGIN));
         if (due < wakeAt) {
             wakeAt = due;
-            out.wake(due - now, TIMER_SWEEP);
+            out.setTimer(due - now, TIMER_SWEEP);
         }
     }
 
     @Override
-    public void timer(long time, long handle) {
+    public void onTimer(long time, long handle) {
         tick(time);
         if (handle == TIMER_PROBE) {
             probe();
@@ -527,7 +527,7 @@
     // ---- What comes back ----
 
     @Override
-    public void outcome(long time, Outcome o) {
+    public void onOutcome(long time, Outcome o) {
         tick(time);
         Attempt a = attempt(o.id(), o.attempt());
         if (a == null) {
@@ -557,13 +557,13 @@
         sent.remove(a);
         q.attemptsOut--;
         a.host.book(a, -1);
-        if (!o.end().neverRan && q.firstDoubt == null) {
+        if (!o.status().neverRan && q.firstDoubt == null) {
             q.firstDoubt = a.host;
             q.firstDoubtAt = a.sentAt;
         }
         if (q.line != null) {
             q.line.attemptsOut--;
-            if (o.end() == AttemptStatus.TIMEOUT || o.end() == AttemptStatus.RESET || o.end() == AttemptStatus.CANCELLED) {
+            if (o.status() == AttemptStatus.TIMEOUT || o.status() == AttemptStatus.RESET || o.status() == AttemptStatus.CANCELLED) {
                 q.line.restUntil = now + settings.safetyRules().keyCooldown();
             }
         }
@@ -582,9 +582,9 @@
     /** Only successes teach delays; every outcome speaks of health. */
     private void learn(Attempt a, Outcome o) {
         EngineEstimate h = a.host;
-        h.report(o.load(), o.end() == AttemptStatus.FULL || o.end() == AttemptStatus.TIMEOUT && a.endsAt > now, now);
-        judge(a, o.end());
-        if (o.end() != AttemptStatus.OK) {
+        h.report(o.load(), o.status() == AttemptStatus.FULL || o.status() == AttemptStatus.TIMEOUT && a.endsAt > now, now);
+        judge(a, o.status());
+        if (o.status() != AttemptStatus.OK) {
             return;
         }
         RequestClass kin = a.query.kin;
@@ -664,11 +664,11 @@
                 out.probe(h.id);
             }
         }
-        out.wake(PROBE_TICK, TIMER_PROBE);
+        out.setTimer(PROBE_TICK, TIMER_PROBE);
     }
 
     @Override
-    public void probed(long time, String engine, boolean ok, long rtt, Load load) {
+    public void onProbeResult(long time, String engine, boolean ok, long rtt, Load load) {
         tick(time);
         EngineEstimate h = hosts.get(engine);
         if (h != null && ok) {
@@ -678,7 +678,7 @@
     }
 
     @Override
-    public void note(long time, StatusUpdate n) {
+    public void onStatusUpdate(long time, StatusUpdate n) {
         tick(time);
         Attempt a = attempt(n.id(), n.attempt());
         if (a == null) {
@@ -760,7 +760,7 @@
     }
 
     @Override
-    public void abandoned(long time, String id) {
+    public void onAbandoned(long time, String id) {
         tick(time);
         Query q = queries.get(id);
         if (q != null && !q.closed) {
@@ -771,7 +771,7 @@
     // ---- The list of engines ----
 
     @Override
-    public void engines(long time, boolean complete, List<Engine> entries) {
+    public void onEngineList(long time, boolean complete, List<Engine> entries) {
         tick(time);
         if (complete) {
             hosts.values().forEach(h -> h.listed = EngineStatus.REMOVED);
@@ -782,7 +782,7 @@
                 if (e.status() == EngineStatus.REMOVED) {
                     continue;
                 }
-                h = new EngineEstimate(e, settings, fleets.computeIfAbsent(e.kind(),
+                h = new EngineEstimate(e, settings, fleets.computeIfAbsent(e.machineType(),
                         kind -> new FleetLoad(settings.frontCount())));
                 hosts.put(e.id(), h);
                 h.probeAt = probes.first(now, hosts.size());
@@ -803,10 +803,10 @@
     }
 
     @Override
-    public void enginesUnreachable(long time) {
+    public void onDiscoveryUnreachable(long time) {
         tick(time);
         if (settings.subscriptionRequired()) {
-            out.follow();
+            out.subscribe();
         }
     }
 
--- a/src/main/java/cairnline/control/ControlApi.java
+++ b/src/main/java/cairnline/control/ControlApi.java
@@ -4,108 +4,110 @@
 import java.util.Map;
 
 /**
- * What a front tells its decision module, and what the module asks of the front.
+ * The events that a front reports to its decision module and the actions that the module requests from the front.
  *
  * <p>One instance serves one front and is called from one thread. All times are nanoseconds on the front's own
- * monotonic clock and never run backwards; memory is in megabytes; work is the time one thread would take. The
- * caller owns every object it passes in and must not change it afterwards. Calls may carry out actions on the
+ * monotonic clock and never run backwards; memory is in megabytes; work is the time that one thread would take. The
+ * caller owns every object that it passes in and must not change it afterwards. Calls may request actions from the
  * {@link Actions} given at construction, and only during the call.
  *
- * <p>Wrong use: a request id that is already open, or a clock that runs backwards, throws
- * {@link IllegalArgumentException}. Outcomes, notes and timers that refer to nothing known are disregarded.
+ * <p>A request id that is already open, or a clock that runs backwards, causes an {@link IllegalArgumentException}.
+ * Outcomes, status updates and timers that refer to nothing known are ignored.
  */
 public interface ControlApi {
-    /** The list of engines as discovery holds it; {@code complete} lists replace, others change single entries. */
-    void engines(long now, boolean complete, List<Engine> entries);
+    /** Updates the engine list from discovery; a {@code complete} list replaces it, others change single entries. */
+    void onEngineList(long now, boolean complete, List<Engine> entries);
 
-    /** Discovery could not be reached; the last list stays in force. */
-    void enginesUnreachable(long now);
+    /** Reports that discovery could not be reached; the last list stays in force. */
+    void onDiscoveryUnreachable(long now);
 
-    /** A client request; exactly one final answer is owed from here on. */
-    void request(long now, Request request);
+    /** Accepts a client request; the module owes it exactly one final answer from here on. */
+    void onRequest(long now, Request request);
 
-    /** The answer of an attempt has begun to stream; disregarded, since its outcome tells the end. */
-    default void streaming(long now, String id, int attempt) { }
+    /** Reports that the response of an attempt has started to stream; ignored, since the outcome reports its end. */
+    default void onStreaming(long now, String id, int attempt) { }
 
-    /** An attempt is over; one outcome for each {@link Actions#send}. */
-    void outcome(long now, Outcome outcome);
+    /** Reports the end of an attempt; there is one outcome for each {@link Actions#send}. */
+    void onOutcome(long now, Outcome outcome);
 
-    /** Word on an attempt that is still out. */
-    void note(long now, StatusUpdate note);
+    /** Reports the status of an attempt in flight. */
+    void onStatusUpdate(long now, StatusUpdate update);
 
-    /** The client has left; nothing more is owed. */
-    void abandoned(long now, String id);
+    /** Reports that the client has left; no answer is owed any more. */
+    void onAbandoned(long now, String id);
 
-    /** A timer set with {@link Actions#wake} has come due. */
-    void timer(long now, long handle);
+    /** Reports the expiry of a timer set with {@link Actions#setTimer}. */
+    void onTimer(long now, long handle);
 
-    /** Result of a probe, {@code rtt} in nanoseconds; disregarded unless the module asks for probes. */
-    default void probed(long now, String engine, boolean ok, long rtt, Load load) { }
+    /** Reports the result of a probe, {@code rtt} in nanoseconds; ignored unless the module sends probes. */
+    default void onProbeResult(long now, String engine, boolean ok, long rtt, Load load) { }
 
-    /** A message from another front; disregarded unless the module sends such messages. */
-    default void peer(long now, int sender, byte[] message) { }
+    /** Delivers a message from another front; ignored unless the module sends such messages. */
+    default void onPeerMessage(long now, int sender, byte[] message) { }
 
-    /** What the module asks the front to do. */
+    /** The actions that the module requests from the front. */
     interface Actions {
-        /** Sends the request's next attempt, given up after {@code timeout} (0: when the client gives up). */
+        /** Sends the request's next attempt, which times out after {@code timeout} (0: at the client's deadline). */
         void send(String id, String engine, long timeout);
 
-        /** Final answer: refused, a new try does no harm; {@code retryAfter} 0 gives no advice. */
+        /** Gives the final answer "refused": a retry is safe. A {@code retryAfter} of 0 suggests no time for it. */
         void refuse(String id, long retryAfter);
 
-        /** Final answer: failed, it may have run. */
+        /** Gives the final answer "failed": the request may have run. */
         void fail(String id);
 
-        /** Stops waiting for one attempt. */
+        /** Cancels one attempt. */
         void cancel(String id, int attempt);
 
-        /** Memory (0: the engine's choice) and priority (0 to 3, 1 usual) of the request's attempts. */
-        void terms(String id, double memory, int priority);
+        /** Sets memory (0: the engine decides) and priority (0 to 3, 1 is the default) of the request's attempts. */
+        void setAttemptOptions(String id, double memory, int priority);
 
-        /** Asks for {@link ControlApi#timer} after {@code delay}. */
-        void wake(long delay, long handle);
+        /** Requests a call of {@link ControlApi#onTimer} after {@code delay}. */
+        void setTimer(long delay, long handle);
 
-        /** Checks an engine. */
+        /** Sends a probe to an engine. */
         void probe(String engine);
 
         /** Sends a message to every other front. */
-        void tell(byte[] message);
+        void broadcast(byte[] message);
 
-        /** Follows the list of engines from now on, where it must be asked for. */
-        void follow();
+        /** Subscribes to the engine list, where discovery requires a subscription. */
+        void subscribe();
 
-        /** A line for the operators' log. */
+        /** Writes a line to the operators' log. */
         void log(String line);
     }
 
-    /** State of an engine's process as listed. */
+    /** State of an engine's process according to discovery. */
     enum EngineStatus { READY, DRAINING, REMOVED }
 
     /**
-     * A list entry; {@code startedAt} 0 means long ago. Unless {@code sure}, it may have started at any time before, and
-     * may warm up as late as the rules let it.
+     * An entry of the engine list. {@code startedAt} 0 means long ago. Unless {@code startTimeKnown}, the engine may
+     * have started at any time up to now, and may take as long to warm up as the safety rules allow.
      */
-    record Engine(String id, EngineStatus listed, String zone, String kind, int cell, double size, long startedAt,
-                  boolean sure) {
-        /** One whose start is known. */
-        public Engine(String id, EngineStatus listed, String zone, String kind, int cell, double size, long startedAt) {
-            this(id, listed, zone, kind, cell, size, startedAt, true);
+    record Engine(String id, EngineStatus status, String zone, String machineType, int cell, double size,
+                  long startedAt, boolean startTimeKnown) {
+        /** Creates an entry whose start time is known. */
+        public Engine(String id, EngineStatus status, String zone, String machineType, int cell, double size,
+                      long startedAt) {
+            this(id, status, zone, machineType, cell, size, startedAt, true);
         }
     }
 
     /**
-     * A client request; {@code budget} is how long before the client gives up. {@code hasKey}, {@code work} and
-     * {@code memory} are 0 or false where unknown; {@code tables} is -1 where unknown.
+     * A client request; {@code timeout} is the time after which the client gives up. {@code hasKey}, {@code work} and
+     * {@code memory} are 0 or false where unknown; {@code tableGroup} is -1 where unknown. {@code retry} is true where
+     * the client has marked the request as a repeat of an earlier one.
      */
-    record Request(String id, String type, String tenant, boolean hasKey, long key, long budget, long work,
-                   double memory, int tables, boolean repeat) { }
+    record Request(String id, String requestClass, String tenant, boolean hasKey, long key, long timeout, long work,
+                   double memory, int tableGroup, boolean retry) { }
 
     /** How an attempt ended. */
     enum AttemptStatus {
         OK(false), ERROR(false), FULL(true), TIMEOUT(false), CONNECT_FAILED(true), RESET(false), CANCELLED(false),
         NOT_SENT(true);
 
-        /** True if this end proves that the attempt never ran. */
+        /** True if this status proves that the attempt never ran. */
         public final boolean neverRan;
 
         AttemptStatus(boolean neverRan) {
@@ -113,92 +115,102 @@
         }
     }
 
-    /** An engine's load report; a value that is not reported is NaN. */
+    /** An engine's load report; a value that was not reported is NaN. */
     record Load(double utilization, double queue, double inflight, double memory, double disk) {
-        /** No report came along. */
+        /** The absence of a report. */
         public static final Load NONE = new Load(Double.NaN, Double.NaN, Double.NaN, Double.NaN, Double.NaN);
     }
 
     /**
-     * The end of an attempt; {@code last} if the request is over for the client too. {@code work} (ns) and
-     * {@code memory} (MB) are what the query needed, 0 where not told.
+     * The end of an attempt; {@code last} if the request is complete for the client too. {@code work} (ns) and
+     * {@code memory} (MB) are what the query needed, 0 where not reported.
      */
-    record Outcome(String id, int attempt, String engine, AttemptStatus end, long rtt, boolean last, long work, double memory,
-                   Load load) { }
+    record Outcome(String id, int attempt, String engine, AttemptStatus status, long rtt, boolean last, long work,
+                   double memory, Load load) { }
 
-    /** What a note tells. */
+    /** The subject of a status update. */
     enum StatusKind { PROGRESS, SPILL, WAITS_MEMORY, WAITS_LOAD }
 
-    /** A note; {@code amount} is the share done, or the megabytes missing. */
+    /** A status update on an attempt; {@code amount} is the completed share (0 to 1), or the missing megabytes. */
     record StatusUpdate(String id, int attempt, String engine, StatusKind kind, double amount) { }
 
-    /** What a repeat of a request may do. */
+    /** Whether a request may run more than once: always, only under its deduplication key, or never. */
     enum RetrySafety { SAFE, KEYED, UNSAFE }
 
-    /** Which engines drop the repeats of a keyed request. */
+    /** The engines that share the deduplication keys of a keyed request and so drop its repeats. */
     enum DeduplicationScope { ALL, ZONE, CELL }
 
     /**
-     * A class of requests. An answer within {@code aim + aimStretch * work / threads} earns {@code worth}, a later one
-     * {@code lateWorth * worth}. {@code zones} and {@code kinds} bind the class where not empty.
+     * Settings of a class of requests. An answer within {@code latencyTarget + latencyTargetWorkFactor * work / threads}
+     * earns {@code worth}, a later one {@code lateWorth * worth}. {@code zones} and {@code machineTypes} restrict the
+     * class to these engines where not empty.
      */
-    record RequestClassSettings(String name, long aim, double aimStretch, long deadline, double worth, double lateWorth, RetrySafety effect,
-                DeduplicationScope scope, long window, boolean serial, int threads, boolean holdsTables, boolean waitsForHolder,
-                List<String> zones, List<String> kinds) { }
+    record RequestClassSettings(String name, long latencyTarget, double latencyTargetWorkFactor, long deadline,
+                                double worth, double lateWorth, RetrySafety retrySafety,
+                                DeduplicationScope deduplicationScope, long deduplicationWindow, boolean serialByKey,
+                                int threads, boolean locksTables, boolean waitsForTableLock, List<String> zones,
+                                List<String> machineTypes) { }
 
-    /** A tenant's share, in requests a second over all fronts. */
+    /** A tenant's share of the requests, and its quota in requests a second over all fronts. */
     record Tenant(String name, double share, double quotaPerSecond) { }
 
-    /** A kind of machine. */
+    /** A type of machine that engines run on; {@code memory} in megabytes. */
     record MachineType(int cores, double memory) { }
 
-    /** What the site allows. */
-    record Permissions(int attempts, boolean cancel, boolean secondCopies, boolean probes, boolean peers,
-                       boolean retryAfter, long maxRetryAfter, boolean memory, boolean priority) { }
+    /** What the site permits the module to do. */
+    record Permissions(int maxAttempts, boolean cancel, boolean concurrentAttempts, boolean probes,
+                       boolean peerMessages, boolean retryAfter, long maxRetryAfter, boolean memoryGrants,
+                       boolean priority) { }
 
     /**
-     * The figures of the rules. {@code spareAttempts} below 0 means that further attempts are not rationed;
-     * {@code keyRest} 0 that a key needs no rest.
+     * Limits of the safety rules. A {@code retryAllowance} below 0 means that there is no retry budget; a
+     * {@code keyCooldown} of 0 that a key needs no cool-down after an attempt with an unknown result.
      */
-    record SafetyRules(long drainGrace, double coldFrom, long warmWithin, double tipMultiple, long overloadFor, long keyRest,
-                 double spareAttempts, double extraPerRequest, long lookBack) { }
+    record SafetyRules(long drainGrace, double coldCapacity, long warmUpTime, double overloadMultiple,
+                       long overloadWindow, long keyCooldown, double retryAllowance, double retriesPerRequest,
+                       long retryWindow) { }
 
     /**
-     * All that a front is told at start. {@code grantCap} is the share of an engine's memory one query gets at most;
-     * {@code overShareWorth} the part of its worth that a request past its tenant's share keeps; {@code follow} is
-     * true where the list must be asked for; {@code notePeriod} the time between notes on an attempt, 0 without;
-     * {@code marksRepeats} is true where clients mark a request that they ask again; {@code probePrice} is the part of
-     * the worth asked for that a
-     * probe for each request costs.
+     * The settings of a front, fixed at start. {@code memoryGrantCap} is the largest share of an engine's memory that
+     * one query gets; {@code overShareWorth} is the part of its worth that a request beyond its tenant's share keeps;
+     * {@code subscriptionRequired} is true where the engine list must be subscribed to; {@code statusUpdateInterval} is
+     * the time between status updates on an attempt, 0 if there are none; {@code clientsMarkRetries} is true where
+     * clients mark the requests that they repeat; {@code probeCost} is the cost of one probe per request, as a part
+     * of the requested worth.
      */
-    record Settings(int self, int fronts, String zone, List<RequestClassSettings> types, List<Tenant> tenants, Map<String, MachineType> kinds,
-                    Permissions permissions, SafetyRules rules, double overShareWorth, double grantCap, boolean follow,
-                    long notePeriod, boolean marksRepeats, double probePrice) {
-        /** Rejects settings that contradict themselves. */
+    record Settings(int frontIndex, int frontCount, String zone, List<RequestClassSettings> requestClasses,
+                    List<Tenant> tenants, Map<String, MachineType> machineTypes, Permissions permissions,
+                    SafetyRules safetyRules, double overShareWorth, double memoryGrantCap,
+                    boolean subscriptionRequired, long statusUpdateInterval, boolean clientsMarkRetries,
+                    double probeCost) {
+        /** Rejects settings that contradict each other. */
         public Settings {
-            require(fronts >= 1 && self >= 0, "a front needs a number and a group of at least one");
-            require(!types.isEmpty(), "no class of requests is set");
-            require(permissions.attempts() >= 1, "at least one attempt must be allowed");
-            require(rules.coldCapacity() >= 0 && rules.coldCapacity() <= 1, "the cold share lies between 0 and 1");
-            require(rules.retryAllowance() < 0 || rules.retryWindow() > 0, "a ration of attempts needs a window");
-            require(notePeriod >= 0, "the time between notes is not negative");
-            for (RequestClassSettings type : types) {
-                require(type.aim() > 0 && type.deadline() > 0 && type.threads() >= 1,
-                        "class " + type.name() + " needs an aim, a deadline and a thread");
+            require(frontCount >= 1 && frontIndex >= 0, "a front needs an index and a group of at least one front");
+            require(!requestClasses.isEmpty(), "no class of requests is configured");
+            require(permissions.maxAttempts() >= 1, "at least one attempt must be permitted");
+            require(safetyRules.coldCapacity() >= 0 && safetyRules.coldCapacity() <= 1,
+                    "the capacity of a cold engine must lie between 0 and 1");
+            require(safetyRules.retryAllowance() < 0 || safetyRules.retryWindow() > 0,
+                    "a retry budget needs a window");
+            require(statusUpdateInterval >= 0, "the interval of status updates must not be negative");
+            for (RequestClassSettings settings : requestClasses) {
+                require(settings.latencyTarget() > 0 && settings.deadline() > 0 && settings.threads() >= 1,
+                        "class " + settings.name() + " needs a latency target, a deadline and at least one thread");
             }
         }
 
-        /** The same for engines that tell neither their load nor anything of what they run. */
+        /** Returns the same settings for engines that report neither their load nor the status of attempts. */
         public Settings withoutReports() {
             Permissions p = permissions;
-            Permissions without = new Permissions(p.attempts(), p.cancel(), p.secondCopies(), false, p.peers(),
-                    p.retryAfter(), p.maxRetryAfter(), p.memory(), p.priority());
-            return new Settings(self, fronts, zone, types, tenants, kinds, without, rules, overShareWorth, grantCap,
-                    follow, 0, marksRepeats, probePrice);
+            Permissions withoutProbes = new Permissions(p.maxAttempts(), p.cancel(), p.concurrentAttempts(), false,
+                    p.peerMessages(), p.retryAfter(), p.maxRetryAfter(), p.memoryGrants(), p.priority());
+            return new Settings(frontIndex, frontCount, zone, requestClasses, tenants, machineTypes, withoutProbes,
+                    safetyRules, overShareWorth, memoryGrantCap, subscriptionRequired, 0, clientsMarkRetries,
+                    probeCost);
         }
 
-        private static void require(boolean held, String message) {
-            if (!held) {
+        private static void require(boolean satisfied, String message) {
+            if (!satisfied) {
                 throw new IllegalArgumentException(message);
             }
         }
--- a/src/main/java/cairnline/control/EngineEstimate.java
+++ b/src/main/java/cairnline/control/EngineEstimate.java
@@ -37,7 +37,7 @@
     double foreignThreads, share, draw;
 
     EngineEstimate(Engine e, Settings settings, FleetLoad fleet) {
-        super(e, settings.kinds().get(e.kind()));
+        super(e, settings.machineTypes().get(e.machineType()));
         this.fleet = fleet;
         this.share = 1.0 / settings.frontCount();
         settings.requestClasses().forEach(type -> predictors.add(new Predictor()));
--- a/src/main/java/cairnline/control/EngineState.java
+++ b/src/main/java/cairnline/control/EngineState.java
@@ -37,7 +37,7 @@
     EngineState(Engine e, MachineType machine) {
         this.id = e.id();
         this.zone = e.zone();
-        this.kind = e.kind();
+        this.kind = e.machineType();
         this.cell = e.cell();
         this.seed = Placement.seed(e.id());
         this.cores = machine == null ? 1 : machine.cores();
@@ -65,7 +65,7 @@
     final void add(RequestClassSettings type, int tables, int count) {
         attempts += count;
         threads += count * type.threads();
-        if (type.holdsTables()) {
+        if (type.locksTables()) {
             holding.merge(tables, count, (a, b) -> a + b == 0 ? null : a + b);
         }
     }
--- a/src/main/java/cairnline/control/Query.java
+++ b/src/main/java/cairnline/control/Query.java
@@ -51,13 +51,13 @@
         this.kin = kin;
         this.arrivedAt = now;
         this.askedAt = now - waited;
-        this.deadline = now + r.budget();
+        this.deadline = now + r.timeout();
         this.toldWork = r.work();
         this.size = size;
-        this.aimAt = askedAt + kin.type.aim() + (long) (kin.type.aimStretch() * work / kin.type.threads());
+        this.aimAt = askedAt + kin.type.latencyTarget() + (long) (kin.type.latencyTargetWorkFactor() * work / kin.type.threads());
         this.sequence = sequence;
         this.memory = r.memory();
-        this.tables = r.tables();
+        this.tables = r.tableGroup();
     }
 
     /** One send of a request. */
--- a/src/main/java/cairnline/control/RequestClass.java
+++ b/src/main/java/cairnline/control/RequestClass.java
@@ -33,13 +33,13 @@
     RequestClass(RequestClassSettings type, int index) {
         this.type = type;
         this.index = index;
-        this.priorWork = WORK_PRIOR * type.aim() * type.threads();
+        this.priorWork = WORK_PRIOR * type.latencyTarget() * type.threads();
         this.meanWork = priorWork;
-        this.errorSquare = (double) type.aim() * type.aim();
+        this.errorSquare = (double) type.latencyTarget() * type.latencyTarget();
     }
 
     double usualDelay() {
-        return usual > 0 ? usual : type.aim() * UNHEARD_SHARE;
+        return usual > 0 ? usual : type.latencyTarget() * UNHEARD_SHARE;
     }
 
     double usualWork() {
--- a/src/main/java/cairnline/membership/State.java
+++ b/src/main/java/cairnline/membership/State.java
@@ -31,7 +31,7 @@
         return switch (listed) {
             case READY -> TOLD;
             case DRAINING -> LEAVING;
-            case GONE -> GONE;
+            case REMOVED -> GONE;
         };
     }
 
--- a/src/main/java/cairnline/simhost/BatchProcessor.java
+++ b/src/main/java/cairnline/simhost/BatchProcessor.java
@@ -47,7 +47,7 @@
         if (!in.read(line).equals("TURN")) {
             throw new WireException("a batch starts with TURN", line);
         }
-        long now = in.whole("atTimeNs");
+        long now = in.integer("atTimeNs");
         while (true) {
             line = reader.readLine();
             if (line == null) {
@@ -70,17 +70,17 @@
             case "HELLO" -> hello(now, line, reply);
             case "EXIT" -> {
                 instance(line);
-                instances.remove(in.whole("frontId"));
+                instances.remove(in.integer("frontId"));
             }
             default -> dispatch(name, line, now);
         }
     }
 
     private void hello(long now, String line, StringBuilder reply) {
-        long front = in.whole("frontId");
+        long front = in.integer("frontId");
         ActionWriter replies = new ActionWriter(reply, front);
         try {
-            ControlApi control = new Control(new SettingsReader(in).read(), in.whole("randomSeed", 0), now, replies);
+            ControlApi control = new Control(new SettingsReader(in).read(), in.integer("randomSeed", 0), now, replies);
             instances.put(front, new Instance(control, replies));
         } catch (IllegalArgumentException e) {
             throw new WireException(e.getMessage(), line);
@@ -88,7 +88,7 @@
     }
 
     private Instance instance(String line) {
-        Instance instance = instances.get(in.whole("frontId"));
+        Instance instance = instances.get(in.integer("frontId"));
         if (instance == null) {
             throw new WireException("unknown front", line);
         }
@@ -113,13 +113,13 @@
         switch (name) {
             case "REGISTRY" -> registry(control, line, now);
             case "NEW_REQUEST" -> control.onRequest(now, request());
-            case "STREAMING" -> control.onStreaming(now, in.text("msgId"), (int) in.whole("attempt", 0));
+            case "STREAMING" -> control.onStreaming(now, in.text("msgId"), (int) in.integer("attempt", 0));
             case "RETURNED" -> control.onOutcome(now, outcome(line));
             case "STATUS_NOTE" -> note(control, line, now);
             case "ABANDONED" -> control.onAbandoned(now, in.text("msgId"));
-            case "TIMER" -> control.onTimer(now, in.whole("handle"));
-            case "ECHO" -> control.onProbeResult(now, in.text("engine"), end(line) == AttemptStatus.OK, in.whole("rttNs", 0), load(line));
-            case "PEER" -> control.onPeerMessage(now, (int) in.whole("sender"), bytes(line));
+            case "TIMER" -> control.onTimer(now, in.integer("handle"));
+            case "ECHO" -> control.onProbeResult(now, in.text("engine"), end(line) == AttemptStatus.OK, in.integer("rttNs", 0), load(line));
+            case "PEER" -> control.onPeerMessage(now, (int) in.integer("sender"), bytes(line));
             default -> throw new WireException("unknown event " + name, line);
         }
     }
@@ -135,7 +135,7 @@
 
     private void inventory(String line, BufferedReader reader) throws IOException {
         int sheet = sheet(line);
-        long rows = in.whole("rows");
+        long rows = in.integer("rows");
         List<Engine> entries = new ArrayList<>();
         for (long i = 0; i < rows; i++) {
             String row = reader.readLine();
@@ -143,13 +143,13 @@
                 throw new WireException("an INVENTORY holds fewer entries than it says", line);
             }
             entries.add(new Engine(in.text("engine"), listed(row), in.text("locality", ""), in.text("flavor", ""),
-                    (int) in.whole("cluster", 0), in.number("nominal", 1), in.whole("cameUpNs", 0)));
+                    (int) in.integer("cluster", 0), in.number("nominal", 1), in.integer("cameUpNs", 0)));
         }
         lists.set(sheet, entries);
     }
 
     private EngineStatus listed(String line) {
-        return switch ((int) in.whole("status", 1)) {
+        return switch ((int) in.integer("status", 1)) {
             case 1 -> EngineStatus.READY;
             case 2 -> EngineStatus.DRAINING;
             case 0 -> EngineStatus.REMOVED;
@@ -158,7 +158,7 @@
     }
 
     private int sheet(String line) {
-        long sheet = in.whole("sheet");
+        long sheet = in.integer("sheet");
         if (sheet < 0 || sheet >= KEPT_LISTS) {
             throw new WireException("an INVENTORY number lies outside 0 to 15", line);
         }
@@ -166,7 +166,7 @@
     }
 
     private void registry(ControlApi control, String line, long now) {
-        long kind = in.whole("kind");
+        long kind = in.integer("kind");
         if (kind == 0) {
             control.onDiscoveryUnreachable(now);
             return;
@@ -182,21 +182,21 @@
     }
 
     private Request request() {
-        long bits = in.whole("stateBits", 0);
+        long bits = in.integer("stateBits", 0);
         return new Request(in.text("msgId"), in.text("type"), in.text("customer", ""), in.has("object"),
-                in.whole("object", 0), in.whole("budgetNs"), (bits & 1) != 0 ? in.whole("planCostNs", 0) : 0,
+                in.integer("object", 0), in.integer("budgetNs"), (bits & 1) != 0 ? in.integer("planCostNs", 0) : 0,
                 in.number("needMb", 0), (int) in.number("tableGroup", -1), (bits & 2) != 0);
     }
 
     private Outcome outcome(String line) {
-        long cost = in.whole("trueCost", 0);
-        return new Outcome(in.text("msgId"), (int) in.whole("attempt", 0), in.text("engine"), end(line),
-                in.whole("rttNs", 0), in.flag("last", false), cost / COST_BASE * NS_PER_MS,
+        long cost = in.integer("trueCost", 0);
+        return new Outcome(in.text("msgId"), (int) in.integer("attempt", 0), in.text("engine"), end(line),
+                in.integer("rttNs", 0), in.flag("last", false), cost / COST_BASE * NS_PER_MS,
                 cost % COST_BASE * MB_PER_COST_UNIT, load(line));
     }
 
     private AttemptStatus end(String line) {
-        return switch ((int) in.whole("how")) {
+        return switch ((int) in.integer("how")) {
             case 10 -> AttemptStatus.OK;
             case 20 -> AttemptStatus.ERROR;
             case 30 -> AttemptStatus.FULL;
@@ -211,14 +211,14 @@
 
     private void note(ControlApi control, String line, long now) {
         double amount = in.number("amount", 0);
-        StatusKind kind = switch ((int) in.whole("kind")) {
+        StatusKind kind = switch ((int) in.integer("kind")) {
             case 1 -> StatusKind.PROGRESS;
             case 2 -> StatusKind.SPILL;
             case 3 -> amount >= 2 ? StatusKind.WAITS_LOAD : StatusKind.WAITS_MEMORY;
             default -> null;
         };
         if (kind != null) {
-            control.onStatusUpdate(now, new StatusUpdate(in.text("msgId"), (int) in.whole("attempt", 0), in.text("engine"), kind, amount));
+            control.onStatusUpdate(now, new StatusUpdate(in.text("msgId"), (int) in.integer("attempt", 0), in.text("engine"), kind, amount));
         }
     }
 
--- a/src/main/java/cairnline/simhost/Fields.java
+++ b/src/main/java/cairnline/simhost/Fields.java
@@ -50,12 +50,12 @@
         return values.containsKey(name);
     }
 
-    long whole(String name) {
+    long integer(String name) {
         return parse(name, text(name));
     }
 
     /** A whole number, or what stands for its absence. */
-    public long whole(String name, long absent) {
+    public long integer(String name, long absent) {
         String value = values.get(name);
         return value == null ? absent : parse(name, value);
     }
--- a/src/main/java/cairnline/simhost/SettingsReader.java
+++ b/src/main/java/cairnline/simhost/SettingsReader.java
@@ -25,22 +25,22 @@
 
     /** All that the module is told at start. */
     public Settings read() {
-        return new Settings((int) in.whole("selfIndex", 0), (int) in.whole("groupSize", 1), in.text("locality", ""),
+        return new Settings((int) in.integer("selfIndex", 0), (int) in.integer("groupSize", 1), in.text("locality", ""),
                 requestClasses(), tenants(), kinds(), permissions(), rules(), in.number("overShareWorth", 1),
                 in.number("specifics.grantCap", 1), in.text("discovery", "push").equals("ask"),
-                in.whole("specifics.notePeriodNs", 0), in.flag("clientHabits.marksRetry", false),
+                in.integer("specifics.notePeriodNs", 0), in.flag("clientHabits.marksRetry", false),
                 in.number("deductions.probe", 0));
     }
 
     private List<RequestClassSettings> requestClasses() {
         List<RequestClassSettings> types = new ArrayList<>();
-        int count = (int) in.whole("profiles.count", 0);
+        int count = (int) in.integer("profiles.count", 0);
         for (int i = 0; i < count; i++) {
             String p = "profiles." + i + ".";
-            long deadline = in.whole(p + "deadlineNs");
-            types.add(new RequestClassSettings(in.text(p + "name"), in.whole(p + "aimNs", deadline), in.number(p + "aimStretch", 0),
+            long deadline = in.integer(p + "deadlineNs");
+            types.add(new RequestClassSettings(in.text(p + "name"), in.integer(p + "aimNs", deadline), in.number(p + "aimStretch", 0),
                     deadline, in.number(p + "worth", 1), in.number(p + "lateWorth", 0), effect(p), scope(p),
-                    in.whole(p + "windowNs", 0), in.flag(p + "serialByKey", false),
+                    in.integer(p + "windowNs", 0), in.flag(p + "serialByKey", false),
                     Math.max(1, (int) perClass("specifics.threadsByClass", i, 1)),
                     perClass("specifics.classLoad", i, 0) > 0, perClass("specifics.blockedByLoads", i, 0) > 0,
                     list(p + "areasOnly"), list(p + "shapesAllowed")));
@@ -68,7 +68,7 @@
 
     private List<Tenant> tenants() {
         List<Tenant> tenants = new ArrayList<>();
-        int count = (int) in.whole("parties.count", 0);
+        int count = (int) in.integer("parties.count", 0);
         for (int i = 0; i < count; i++) {
             String p = "parties." + i + ".";
             tenants.add(new Tenant(in.text(p + "name"), in.number(p + "share", 0), in.number(p + "quotaPerS", 0)));
@@ -88,19 +88,19 @@
 
     private Permissions permissions() {
         String p = "permissions.";
-        return new Permissions((int) in.whole(p + "tryLimit", 1), in.flag(p + "mayCancel", false),
+        return new Permissions((int) in.integer(p + "tryLimit", 1), in.flag(p + "mayCancel", false),
                 in.flag(p + "secondCopies", false), in.flag(p + "probes", false), in.flag(p + "peers", false),
-                in.flag(p + "retryAfter", false), in.whole(p + "maxRetryAfterNs", 0),
+                in.flag(p + "retryAfter", false), in.integer(p + "maxRetryAfterNs", 0),
                 in.flag("specifics.memoryHeeded", false), in.flag("specifics.takesPriority", false));
     }
 
     private SafetyRules rules() {
         String p = "safety.";
         boolean rationed = in.has(p + "spareAttempts") || in.has(p + "extraPerRequest");
-        return new SafetyRules(in.whole(p + "drainGraceNs", 0), in.number(p + "coldFrom", 1), in.whole(p + "warmWithinNs", 0),
-                in.number(p + "tipMultiple", 1), in.whole(p + "overloadForNs", 0),
-                in.whole(p + "settleAfterDoubtNs", 0), rationed ? in.number(p + "spareAttempts", 0) : -1,
-                in.number(p + "extraPerRequest", 0), in.whole(p + "lookBackNs", 0));
+        return new SafetyRules(in.integer(p + "drainGraceNs", 0), in.number(p + "coldFrom", 1), in.integer(p + "warmWithinNs", 0),
+                in.number(p + "tipMultiple", 1), in.integer(p + "overloadForNs", 0),
+                in.integer(p + "settleAfterDoubtNs", 0), rationed ? in.number(p + "spareAttempts", 0) : -1,
+                in.number(p + "extraPerRequest", 0), in.integer(p + "lookBackNs", 0));
     }
 
     private double perClass(String name, int index, double absent) {
--- a/src/main/java/cairnline/standin/EngineModel.java
+++ b/src/main/java/cairnline/standin/EngineModel.java
@@ -68,7 +68,7 @@
     public double capacity(long at) {
         double age = Math.min(1, (double) (at - startedAt) / shape.warmWithin());
         double grown = !cold || age >= 1 ? 1 : shape.late() ? 0 : age * age;
-        return shape.cores() * (shape.coldCapacity() + (1 - shape.coldCapacity()) * grown);
+        return shape.cores() * (shape.coldFrom() + (1 - shape.coldFrom()) * grown);
     }
 
     /** A query comes; those that were done before must have been taken with {@link #advance}. */
@@ -76,13 +76,13 @@
         running.put(id, new Running(work, threads));
         window.addLast(new Arrival(now, work));
         inWindow += work;
-        while (window.peekFirst().at < now - shape.overloadWindow()) {
+        while (window.peekFirst().at < now - shape.overloadFor()) {
             inWindow -= window.pollFirst().work;
         }
         if (cold && now - startedAt < shape.warmWithin()) {
-            double over = inWindow / (capacity(now) * shape.overloadWindow());
+            double over = inWindow / (capacity(now) * shape.overloadFor());
             highest = Math.max(highest, over);
-            fell |= over > shape.overloadMultiple();
+            fell |= over > shape.tipMultiple();
         }
     }
 
--- a/src/test/java/cairnline/program/DiscoveryTest.java
+++ b/src/test/java/cairnline/program/DiscoveryTest.java
@@ -305,7 +305,7 @@
         for (Thread load : loads) {
             load.join();
         }
-        assertTrue(cold.highest() > 0.3 && cold.highest() < SHAPE.overloadMultiple(), "highest " + cold.highest());
+        assertTrue(cold.highest() > 0.3 && cold.highest() < SHAPE.tipMultiple(), "highest " + cold.highest());
         for (Mix mix : mixes) {
             mix.close();
         }
@@ -323,7 +323,7 @@
         StandInRespEngine second = large(first.port(), true);
         mix.send(250, 50);
         mix.await(LIMIT_S);
-        assertTrue(second.highest() > 0.3 && second.highest() < SHAPE.overloadMultiple(), "highest " + second.highest());
+        assertTrue(second.highest() > 0.3 && second.highest() < SHAPE.tipMultiple(), "highest " + second.highest());
         mix.close();
     }
 }
