--- a/src/main/java/cairnline/control/Control.java
+++ b/src/main/java/cairnline/control/Control.java
@@ -15,820 +15,841 @@
 import java.util.TreeSet;
 
 /**
- * The decisions of one front. The types, events and actions are in {@link ControlApi} (ControlApi.java).
+ * The decision module of one front. Its types, events and actions are in {@link ControlApi}.
  *
- * <p>Reading order: the constants; the rules ({@link #maySend} and {@link #close}); the ordinary path
- * ({@link #decide}, {@link #choose}, {@link #predict}, {@link #payoff}, {@link #starts}); held queries
- * ({@link #release}); what is learnt ({@link #outcome}, {@link #learn}, {@link #judge}); lists and state.
+ * <p>Reading order: the constants; the safety rules ({@link #maySend} and {@link #close}); the normal path
+ * ({@link #decide}, {@link #choose}, {@link #predict}, {@link #payoff}, {@link #mayStart}); held queries
+ * ({@link #releaseHeld}); feedback ({@link #onOutcome}, {@link #learn}, {@link #updateHealth}); engine list.
  */
 public final class Control implements ControlApi {
-    private static final long MS = 1_000_000L;
-    private static final long SECOND = 1_000 * MS;
-
-    /** Longest time between looks at held queries while nothing is heard; short against any aim. */
-    private static final long SWEEP = 50 * MS;
-    /** Answer this long before the client's time is up, so that the answer is not overdue. */
-    private static final long ANSWER_MARGIN = 30 * MS;
-    /** Keyed repeats stop this long before the window ends: the request still travels. */
-    private static final long WINDOW_MARGIN = 250 * MS;
-    /** Events this near the edge of the ration's window count as inside or out, whichever is stricter. */
-    private static final long EDGE = 20 * MS;
-    /** Weight of the newest delay in t, by ratio: one query's size must not speak for an engine. */
-    private static final double DELAY_GAIN = 0.1;
-    /** The mark's floor and step a second; it falls while light classes' load ratio is above the last. */
-    private static final double MARK_LEAST = 1.2, MARK_STEP = 0.3, MARK_RHO = 2.5;
-    /** The start chance falls from 1 at the mark to 0 at the mark plus this share of it. */
-    private static final double MARK_FALL = 0.5;
-    /** Engines that all fronts together look at while one chooses, and the least that each does. */
-    private static final int SAMPLE_ALL = 40, SAMPLE_LEAST = 2;
-    /** Samples that a query looks through while there is no room at the engines of its group of tables. */
-    private static final int SPILL_SAMPLES = 3;
-    /** Periods of notes after which an attempt counts as silent; one and a half pass where all is well. */
-    private static final double SILENT_NOTES = 1.6;
-    /** Engines at which a request fails before it is taken to be at fault itself. */
-    private static final int ERRORS_MOST = 3;
-    /** Time between looks at which engines are to be probed. */
-    private static final long PROBE_TICK = 50 * MS;
-    /** Odds from which an engine may not be there any more. */
-    private static final double LOST_ODDS = 0.5;
-    /** Part of the rule's multiple that all fronts send a cold engine; two draws at once leave a fifth. */
+    private static final long MILLI_NANOS = 1_000_000L, SECOND_NANOS = 1_000 * MILLI_NANOS;
+
+    /** Longest time between checks of held queries without any event; short against any latency target. */
+    private static final long HELD_CHECK_NANOS = 50 * MILLI_NANOS;
+    /** Requests are answered this long before the client's deadline, so that the answer is not late. */
+    private static final long ANSWER_MARGIN_NANOS = 30 * MILLI_NANOS;
+    /** Keyed retries stop this long before the deduplication window ends: the request still has to travel. */
+    private static final long KEY_MARGIN_NANOS = 250 * MILLI_NANOS;
+    /** Events this near the edge of the retry window count as inside or outside, whichever is stricter. */
+    private static final long EDGE_TOLERANCE_NANOS = 20 * MILLI_NANOS;
+    /** Weight of the newest delay in a geometric mean: one query's size must not decide about an engine. */
+    private static final double DELAY_SMOOTHING = 0.1;
+    /** Minimum and step of the concurrency limit, and the load ratio of light classes from which it falls. */
+    private static final double MIN_LIMIT = 1.2, LIMIT_STEP_PER_SECOND = 0.3, OVERLOAD_RATIO = 2.5;
+    /** The chance to start falls from 1 at the concurrency limit to 0 at the limit plus this share of it. */
+    private static final double START_CHANCE_RANGE = 0.5;
+    /** Engines that all fronts together examine for one choice, and the minimum for each front. */
+    private static final int TOTAL_SAMPLE = 40, MIN_SAMPLE = 2;
+    /** Samples that a query examines while none of the engines of its table group has room. */
+    private static final int OVERFLOW_SAMPLES = 3;
+    /** Status update intervals after which an attempt is silent; up to 1.5 pass in normal operation. */
+    private static final double SILENT_INTERVALS = 1.6;
+    /** Errors after which the request itself is taken to be the cause. */
+    private static final int MAX_ERRORS = 3;
+    /** Time between checks of which engines to probe. */
+    private static final long PROBE_TICK_NANOS = 50 * MILLI_NANOS;
+    /** Odds from which an engine may be unreachable. */
+    private static final double UNREACHABLE_ODDS = 0.5;
+    /** Share of the overload multiple that all fronts send a cold engine; two draws at once leave a fifth. */
     private static final double COLD_FILL = 0.4;
-    /** A query above this part of what a cold engine can do in a window waits until the engine is warmer. */
-    private static final double COLD_LARGEST = 0.3;
-    /** Unless with it all that all fronts send in a window is within this part of the rule's multiple. */
-    private static final double COLD_TOGETHER = 0.5;
-    private static final int PRIORITY_LIGHT = 3, PRIORITY_HOLDER = 2, PRIORITY_USUAL = 1;
-    /** What a note foretells of an attempt's delay, in answers: shares done are rough. */
-    private static final double NOTE_WORTH = 0.5;
-    /** A query that spills by then is sent again. */
-    private static final long SPILL_EARLY = 100 * MS;
-    /** Prediction on an engine where a load holds the group of tables. */
-    private static final double HELD_FACTOR = 3;
+    /** A query above the first share of a cold engine's capacity in a window waits until it is warmer,
+     * unless all sends of all fronts in the window, with it, are within the second share of the multiple. */
+    private static final double MAX_COLD_QUERY = 0.3, MAX_COLD_TOTAL = 0.5;
+    private static final int PRIORITY_LIGHT = 3, PRIORITY_TABLE_LOCK = 2, PRIORITY_DEFAULT = 1;
+    /** Weight, in answers, of a delay projected from a status update: the reported progress is imprecise. */
+    private static final double PROJECTION_WEIGHT = 0.5;
+    /** A query that spills within this time is sent again. */
+    private static final long EARLY_SPILL_NANOS = 100 * MILLI_NANOS;
+    /** Factor on the prediction for an engine where a load locks the table group. */
+    private static final double LOCK_FACTOR = 3;
     /** An attempt this many times slower than predicted has a bad plan or a bad engine. */
-    private static final double RUNAWAY = 3;
-    /** Shares done are rough: below the first they are taken as it, past the second nothing is called off. */
-    private static final double PROGRESS_LEAST = 0.01;
-    private static final double DONE_ENOUGH = 0.6;
+    private static final double RUNAWAY_FACTOR = 3;
+    /** Reported progress is imprecise: it is raised to the first; beyond the second nothing is cancelled. */
+    private static final double MIN_PROGRESS = 0.01, NEARLY_DONE_PROGRESS = 0.6;
     /** The paper's marginal cost: worth of a full engine's time to others, as a share of the class's. */
-    private static final double PRICE = 1;
-    /** A query over this many times its class's usual work pays for a full engine's time, by the excess. */
-    private static final double DEAR_SIZE = 1;
-    /** A tenant is over its share past this multiple of it in the window; counts there are small. */
-    private static final double OVER_SHARE = 1.6;
-    private static final long SHARE_WINDOW = 3 * SECOND;
-    /** Time between looks at how warm engines are; they take a hundred times as long to become so. */
-    private static final long COUNT_EVERY = 100 * MS;
-    private static final long TIMER_SWEEP = 1, TIMER_PROBE = 2;
+    private static final double FULL_ENGINE_PRICE = 1;
+    /** A query over this multiple of its class's mean work pays for a full engine's time, by the excess. */
+    private static final double EXPENSIVE_SIZE = 1;
+    /** A tenant is over its share beyond this multiple of it in the window; the counts there are small. */
+    private static final double OVER_SHARE_FACTOR = 1.6;
+    private static final long SHARE_WINDOW_NANOS = 3 * SECOND_NANOS;
+    /** Time between updates of the engines' warmth; warming up takes a hundred times as long. */
+    private static final long CAPACITY_UPDATE_NANOS = 100 * MILLI_NANOS;
+    private static final long TIMER_HELD_CHECK = 1, TIMER_PROBE = 2;
 
     private final Settings settings;
-    private final Actions out;
+    private final Actions actions;
     private final SplittableRandom random;
-    private final Map<String, FleetLoad> fleets = new HashMap<>();
-    private final long bornAt;
-    private final ProbeBudget probes;
-    /** Engines looked at for a query: fronts that all take the best of all take the same, and so jam it. */
-    private final int sample;
-    private final Map<String, RequestClass> kinds = new LinkedHashMap<>();
-    private final Map<String, EngineEstimate> hosts = new LinkedHashMap<>();
-    /** The same engines; each choice moves those that it looks at to the front. */
-    private final List<EngineEstimate> ranked = new ArrayList<>();
+    private final Map<String, FleetLoad> fleetLoads = new HashMap<>();
+    private final long startedAt;
+    private final ProbeBudget probeBudget;
+    /** Engines examined for a query: if all fronts picked the best of all engines, they would overload it. */
+    private final int sampleSize;
+    private final Map<String, RequestClass> requestClasses = new LinkedHashMap<>();
+    private final Map<String, EngineEstimate> engines = new LinkedHashMap<>();
+    /** The same engines; each choice swaps the engines that it examines to the front. */
+    private final List<EngineEstimate> candidates = new ArrayList<>();
     private final Map<String, Query> queries = new HashMap<>();
-    private final Map<Long, KeyQueue> lines = new LinkedHashMap<>();
-    private final TreeSet<Query> unsent = new TreeSet<>(Query.BY_EXPIRY);
-    private final SlidingWindow taken = new SlidingWindow(), extra = new SlidingWindow();
-    private final Map<String, Double> shares = new HashMap<>();
-    private final SlidingWindow allAsked = new SlidingWindow();
-    private final Map<String, SlidingWindow> asked = new HashMap<>();
-    private final Set<Attempt> sent = new LinkedHashSet<>();
-    private long now, sequence, markedAt, awakeAt, countedAt;
-    private long wakeAt = Long.MAX_VALUE;
-    private double mark = EngineEstimate.MARK;
-    private final EngineHealth.Usual usual = new EngineHealth.Usual();
-
-    /** Starts a front's decisions; {@code seed} feeds all random draws. */
-    public Control(Settings settings, long seed, long now, Actions out) {
+    private final Map<Long, KeyQueue> keyQueues = new LinkedHashMap<>();
+    private final TreeSet<Query> unsent = new TreeSet<>(Query.BY_DEADLINE);
+    private final SlidingWindow recentRequests = new SlidingWindow(), recentRetries = new SlidingWindow();
+    private final Map<String, Double> tenantShares = new HashMap<>();
+    private final SlidingWindow allRequests = new SlidingWindow();
+    private final Map<String, SlidingWindow> tenantRequests = new HashMap<>();
+    private final Set<Attempt> attemptsInFlight = new LinkedHashSet<>();
+    private long now, sequence, limitUpdatedAt, resumedAt, capacityUpdatedAt;
+    private long heldCheckAt = Long.MAX_VALUE;
+    private double concurrencyLimit = EngineEstimate.MAX_LIMIT;
+    private final EngineHealth.FailureRate failureRate = new EngineHealth.FailureRate();
+
+    /** Starts the decisions of a front; {@code seed} seeds all random draws. */
+    public Control(Settings settings, long seed, long now, Actions actions) {
         this.settings = settings;
-        this.out = out;
+        this.actions = actions;
         this.random = new SplittableRandom(seed);
-        this.bornAt = now;
-        this.sample = Math.max(SAMPLE_LEAST, (int) Math.round((double) SAMPLE_ALL / settings.frontCount()));
-        this.probes = new ProbeBudget(settings.probeCost(), now, random.split());
+        this.startedAt = now;
+        this.sampleSize = Math.max(MIN_SAMPLE,
+                (int) Math.round((double) TOTAL_SAMPLE / settings.frontCount()));
+        this.probeBudget = new ProbeBudget(settings.probeCost(), now, random.split());
         this.now = now;
-        for (RequestClassSettings type : settings.requestClasses()) {
-            kinds.put(type.name(), new RequestClass(type, kinds.size()));
+        for (RequestClassSettings each : settings.requestClasses()) {
+            requestClasses.put(each.name(), new RequestClass(each, requestClasses.size()));
         }
-        settings.tenants().forEach(tenant -> shares.put(tenant.name(), tenant.share()));
+        settings.tenants().forEach(tenant -> tenantShares.put(tenant.name(), tenant.share()));
         if (settings.subscriptionRequired()) {
-            out.subscribe();
+            actions.subscribe();
         }
         if (settings.permissions().probes()) {
-            out.setTimer(PROBE_TICK, TIMER_PROBE);
+            actions.setTimer(PROBE_TICK_NANOS, TIMER_PROBE);
         }
     }
 
-    // ---- The rules: every send passes here, every request is closed here ----
+    // ---- The safety rules: every send is checked here, every request is closed here ----
 
-    /** The one guard of every send. */
-    private boolean maySend(Query q, EngineEstimate h) {
-        return !q.closed && h.listed == EngineStatus.READY && placed(q.kin.type, h) && attemptAllowed(q)
-                && keyTurn(q) && repeatAllowed(q, h) && coldRoom(h, coldWeight(q));
+    /** Checks every rule that a send must satisfy; nothing is sent without it. */
+    private boolean maySend(Query query, EngineEstimate engine) {
+        return !query.closed && engine.status == EngineStatus.READY
+                && placementAllowed(query.requestClass.settings, engine) && attemptAllowed(query)
+                && isKeyTurn(query) && retryAllowed(query, engine)
+                && coldEngineHasRoom(engine, chargedWork(query));
     }
 
-    private static boolean placed(RequestClassSettings type, EngineEstimate h) {
-        return (type.zones().isEmpty() || type.zones().contains(h.zone))
-                && (type.machineTypes().isEmpty() || type.machineTypes().contains(h.kind));
+    private static boolean placementAllowed(RequestClassSettings requestClass, EngineEstimate engine) {
+        return (requestClass.zones().isEmpty() || requestClass.zones().contains(engine.zone))
+                && (requestClass.machineTypes().isEmpty()
+                || requestClass.machineTypes().contains(engine.machineType));
     }
 
-    private boolean attemptAllowed(Query q) {
-        return q.attempts.size() < settings.permissions().maxAttempts()
-                && (q.attemptsOut == 0 || settings.permissions().concurrentAttempts())
-                && (q.attempts.isEmpty() || rationLeft());
+    private boolean attemptAllowed(Query query) {
+        return query.attempts.size() < settings.permissions().maxAttempts()
+                && (query.attemptsInFlight == 0 || settings.permissions().concurrentAttempts())
+                && (query.attempts.isEmpty() || retryBudgetLeft());
     }
 
-    /** Both edges of the window are taken against this front, wherever they are counted. */
-    private boolean rationLeft() {
+    /** Takes both edges of the window at their stricter end: the limit holds wherever it is measured. */
+    private boolean retryBudgetLeft() {
         SafetyRules rules = settings.safetyRules();
         long since = now - rules.retryWindow();
-        return rules.retryAllowance() < 0 || extra.since(since - EDGE) + 1
-                <= rules.retryAllowance() + rules.retriesPerRequest() * taken.since(since + EDGE);
+        return rules.retryAllowance() < 0 || recentRetries.sumSince(since - EDGE_TOLERANCE_NANOS) + 1
+                <= rules.retryAllowance()
+                + rules.retriesPerRequest() * recentRequests.sumSince(since + EDGE_TOLERANCE_NANOS);
     }
 
-    private boolean keyTurn(Query q) {
-        return q.line == null || !q.attempts.isEmpty()
-                || q.line.waiting.peekFirst() == q && q.line.attemptsOut == 0 && now >= q.line.restUntil;
+    private boolean isKeyTurn(Query query) {
+        return query.keyQueue == null || !query.attempts.isEmpty()
+                || query.keyQueue.waiting.peekFirst() == query && query.keyQueue.attemptsInFlight == 0
+                && now >= query.keyQueue.cooldownUntil;
     }
 
     /** A request that may have run is repeated only as its class permits. */
-    private boolean repeatAllowed(Query q, EngineEstimate h) {
-        if (q.firstDoubt == null || q.kin.type.retrySafety() == RetrySafety.SAFE) {
+    private boolean retryAllowed(Query query, EngineEstimate engine) {
+        if (query.uncertainEngine == null || query.requestClass.settings.retrySafety() == RetrySafety.SAFE) {
             return true;
         }
-        return q.kin.type.retrySafety() == RetrySafety.KEYED && q.firstDoubt.sharesKeys(h, q.kin.type.deduplicationScope())
-                && now < q.firstDoubtAt + q.kin.type.deduplicationWindow() - WINDOW_MARGIN;
+        return query.requestClass.settings.retrySafety() == RetrySafety.KEYED
+                && query.uncertainEngine.sharesKeys(engine, query.requestClass.settings.keyScope())
+                && now < query.uncertainAt + query.requestClass.settings.keyWindow() - KEY_MARGIN_NANOS;
     }
 
-    /**
-     * Keeps a just-started engine from falling over: this front's part of what the engine can do, in every
-     * window, in whole queries: the last one fits by a chance drawn anew for each window, so that many fronts
-     * send their part in the mean, and stay under the rule's multiple even if all use two draws at once.
-     * A front that has just started does not know what it sent before, and waits one window.
-     */
-    private boolean coldRoom(EngineEstimate h, double weight) {
+    /** Protects a cold engine from overload: in each window a front sends at most its share of the engine's
+     * capacity, in whole queries. The last one fits with a probability drawn once per window, so that many
+     * fronts send their share on average, and stay below the overload multiple even if all use two draws
+     * at once. A front that has just started does not know what it sent before, and waits for one window. */
+    private boolean coldEngineHasRoom(EngineEstimate engine, double work) {
         SafetyRules rules = settings.safetyRules();
-        long age = now - h.coldSince;
-        if (h.coldSince == 0 || age >= rules.warmUpTime()) {
+        long age = now - engine.coldSince;
+        if (engine.coldSince == 0 || age >= rules.warmUpTime()) {
             return true;
         }
-        if (h.coldSince < bornAt && now < bornAt + rules.overloadWindow()) {
+        if (engine.coldSince < startedAt && now < startedAt + rules.overloadWindow()) {
             return false;
         }
-        if (now >= h.drawnUntil) {
-            h.drawnUntil = now + (long) (rules.overloadWindow() * (h.drawnUntil == 0 ? random.nextDouble() : 1));
-            h.draw = random.nextDouble();
+        if (now >= engine.coldDrawUntil) {
+            engine.coldDrawUntil = now
+                    + (long) (rules.overloadWindow() * (engine.coldDrawUntil == 0 ? random.nextDouble() : 1));
+            engine.coldDraw = random.nextDouble();
         }
-        double whole = Math.min(1, COLD_FILL * rules.overloadMultiple()) * h.warmth(rules, now) * h.cores
-                * rules.overloadWindow();
-        double part = whole / settings.frontCount();
-        double spent = h.coldSends.since(now - rules.overloadWindow());
-        return weight <= COLD_LARGEST * whole ? spent + h.draw * weight <= part
-                : h.draw * weight <= part && spent + weight <= COLD_TOGETHER * rules.overloadMultiple() * part;
+        double capacity = Math.min(1, COLD_FILL * rules.overloadMultiple()) * engine.warmthAt(rules, now)
+                * engine.cores * rules.overloadWindow();
+        double share = capacity / settings.frontCount();
+        double sent = engine.coldWork.sumSince(now - rules.overloadWindow());
+        return work <= MAX_COLD_QUERY * capacity ? sent + engine.coldDraw * work <= share
+                : engine.coldDraw * work <= share
+                && sent + work <= MAX_COLD_TOTAL * rules.overloadMultiple() * share;
     }
 
-    /** An estimate counts only upwards: too low a one would send too much. */
-    private static double coldWeight(Query q) {
-        return Math.max(q.kin.usualWork(), q.size * q.kin.meanWork);
+    /** Work charged to a cold engine: an estimate only raises it, since too low a one would send too much. */
+    private static double chargedWork(Query query) {
+        return Math.max(query.requestClass.typicalWork(), query.size * query.requestClass.meanWork);
     }
 
-    /** Gives the one final answer; after it nothing is sent for the request. */
-    private void close(Query q, boolean refuse) {
-        if (q.closed) {
+    /** Gives the single final answer; nothing is sent for the request afterwards. */
+    private void close(Query query, boolean refuse) {
+        if (query.closed) {
             return;
         }
-        boolean harmless = q.firstDoubt == null || q.kin.type.retrySafety() == RetrySafety.SAFE
-                || q.kin.type.retrySafety() == RetrySafety.KEYED && q.kin.type.deduplicationScope() == DeduplicationScope.ALL;
-        if (refuse && harmless) {
-            Permissions may = settings.permissions();
-            out.refuse(q.id, may.retryAfter() ? Math.min(may.maxRetryAfter(), (long) q.kin.usualDelay()) : 0);
+        boolean safeToRetry = query.uncertainEngine == null
+                || query.requestClass.settings.retrySafety() == RetrySafety.SAFE
+                || query.requestClass.settings.retrySafety() == RetrySafety.KEYED
+                && query.requestClass.settings.keyScope() == DeduplicationScope.ALL;
+        if (refuse && safeToRetry) {
+            Permissions permissions = settings.permissions();
+            actions.refuse(query.id, permissions.retryAfter()
+                    ? Math.min(permissions.maxRetryAfter(), (long) query.requestClass.typicalDelay()) : 0);
         } else {
-            out.fail(q.id);
+            actions.fail(query.id);
         }
-        finish(q);
+        finish(query);
     }
 
-    /** Ends a request whose client has its answer or has left. */
-    private void finish(Query q) {
-        q.closed = true;
-        unsent.remove(q);
-        q.kin.held.remove(q);
-        for (Attempt a : q.attempts) {
-            if (a.live && settings.permissions().cancel()) {
-                out.cancel(q.id, a.number);
+    /** Removes a request whose client has its answer or has left. */
+    private void finish(Query query) {
+        query.closed = true;
+        unsent.remove(query);
+        query.requestClass.heldQueries.remove(query);
+        for (Attempt attempt : query.attempts) {
+            if (attempt.inFlight && settings.permissions().cancel()) {
+                actions.cancel(query.id, attempt.number);
             }
         }
-        if (q.attemptsOut == 0) {
-            queries.remove(q.id);
+        if (query.attemptsInFlight == 0) {
+            queries.remove(query.id);
         }
-        if (q.line != null) {
-            q.line.waiting.remove(q);
-            advance(q.line);
+        if (query.keyQueue != null) {
+            query.keyQueue.waiting.remove(query);
+            sendNextOfKey(query.keyQueue);
         }
     }
 
-    // ---- The ordinary path ----
+    // ---- The normal path ----
 
     @Override
-    public void onRequest(long time, Request r) {
-        tick(time);
-        if (queries.containsKey(r.id())) {
-            throw new IllegalArgumentException("request " + r.id() + " is already open");
-        }
-        RequestClass kin = kinds.get(r.requestClass());
-        if (kin == null) {
-            throw new IllegalArgumentException("request " + r.id() + " is of unknown class " + r.requestClass());
-        }
-        double work = kin.workOf(r);
-        Query q = new Query(r, kin, now, sequence++, work, kin.sizeOf(work), waited(r, kin));
-        kin.asked++;
-        probes.asked(now);
-        kin.patience = Math.max(kin.patience, r.timeout());
-        q.overShare = overShare(r.tenant());
-        queries.put(q.id, q);
+    public void onRequest(long time, Request request) {
+        advanceClock(time);
+        if (queries.containsKey(request.id())) {
+            throw new IllegalArgumentException("request " + request.id() + " is already open");
+        }
+        RequestClass requestClass = requestClasses.get(request.requestClass());
+        if (requestClass == null) {
+            throw new IllegalArgumentException(
+                    "request " + request.id() + " is of unknown class " + request.requestClass());
+        }
+        double work = requestClass.expectedWork(request);
+        Query query = new Query(request, requestClass, now, sequence++, work, requestClass.relativeSize(work),
+                timeAlreadyWaited(request, requestClass));
+        requestClass.requestCount++;
+        probeBudget.recordRequest(now);
+        requestClass.longestTimeout = Math.max(requestClass.longestTimeout, request.timeout());
+        query.overTenantShare = recordAndCheckTenantShare(request.tenant());
+        queries.put(query.id, query);
         if (settings.safetyRules().retryAllowance() >= 0) {
-            taken.add(now, 1);
+            recentRequests.add(now, 1);
         }
-        unsent.add(q);
-        if (kin.type.serialByKey() && r.hasKey()) {
-            q.line = lines.computeIfAbsent(r.key(), KeyQueue::new);
-            q.line.waiting.addLast(q);
+        unsent.add(query);
+        if (requestClass.settings.serialByKey() && request.hasKey()) {
+            query.keyQueue = keyQueues.computeIfAbsent(request.key(), KeyQueue::new);
+            query.keyQueue.waiting.addLast(query);
         }
-        if (keyTurn(q)) {
-            decide(q, true);
+        if (isKeyTurn(query)) {
+            decide(query, true);
         }
-        if (q.attempts.isEmpty() && now > q.deadline - ANSWER_MARGIN) {
-            close(q, true);
+        if (query.attempts.isEmpty() && now > query.deadline - ANSWER_MARGIN_NANOS) {
+            close(query, true);
         }
-        arm();
+        scheduleHeldCheck();
     }
 
-    /** How long the client of a repeat has waited at least: it gives less time once little is left. */
-    private static long waited(Request r, RequestClass kin) {
-        return r.retry() && r.timeout() < kin.patience - ANSWER_MARGIN
-                ? Math.max(0, kin.type.deadline() - r.timeout()) : 0;
+    /** Returns the time that the client of a retry has waited at least: its timeout shrinks as it waits. */
+    private static long timeAlreadyWaited(Request request, RequestClass requestClass) {
+        return request.retry() && request.timeout() < requestClass.longestTimeout - ANSWER_MARGIN_NANOS
+                ? Math.max(0, requestClass.settings.deadline() - request.timeout()) : 0;
     }
 
-    /** Classes that are cheaper than the mean query go first on short cores: they delay others least. */
-    private boolean light(RequestClass kin) {
-        double work = 0, asked = 0;
-        for (RequestClass each : kinds.values()) {
-            work += each.asked * each.meanWork;
-            asked += each.asked;
+    /** Classes cheaper than the mean query get priority on busy cores, since they delay others least. */
+    private boolean isLight(RequestClass requestClass) {
+        double work = 0, requests = 0;
+        for (RequestClass each : requestClasses.values()) {
+            work += each.requestCount * each.meanWork;
+            requests += each.requestCount;
         }
-        return !kin.type.locksTables() && kin.meanWork * asked < work;
+        return !requestClass.settings.locksTables() && requestClass.meanWork * requests < work;
     }
 
-    /** Loads go before others only where these wait for them: else they take the time of what earns more. */
-    private int priority(RequestClass kin) {
-        boolean awaited = kin.type.locksTables() && settings.requestClasses().stream().anyMatch(RequestClassSettings::waitsForTableLock);
-        return awaited ? PRIORITY_HOLDER : light(kin) ? PRIORITY_LIGHT : PRIORITY_USUAL;
+    /** Loads get priority only where other classes wait for them; else they displace work worth more. */
+    private int priority(RequestClass requestClass) {
+        boolean awaited = requestClass.settings.locksTables()
+                && settings.requestClasses().stream().anyMatch(RequestClassSettings::waitsForTableLock);
+        return awaited ? PRIORITY_TABLE_LOCK : isLight(requestClass) ? PRIORITY_LIGHT : PRIORITY_DEFAULT;
     }
 
-    /** Counts a tenant's request; tells whether its part of this front's traffic is well past its share. */
-    private boolean overShare(String tenant) {
-        allAsked.add(now, 1);
-        SlidingWindow its = asked.computeIfAbsent(tenant, name -> new SlidingWindow());
-        its.add(now, 1);
-        long since = now - SHARE_WINDOW;
-        return its.since(since) > OVER_SHARE * shares.getOrDefault(tenant, 1.0) * allAsked.since(since);
+    /** Counts a request; returns whether its tenant's part of this front's traffic is well over its share. */
+    private boolean recordAndCheckTenantShare(String tenant) {
+        allRequests.add(now, 1);
+        SlidingWindow ownRequests = tenantRequests.computeIfAbsent(tenant, name -> new SlidingWindow());
+        ownRequests.add(now, 1);
+        long since = now - SHARE_WINDOW_NANOS;
+        return ownRequests.sumSince(since)
+                > OVER_SHARE_FACTOR * tenantShares.getOrDefault(tenant, 1.0) * allRequests.sumSince(since);
     }
 
-    /** Sends a request, refuses it or holds it behind those of its class; false if it waits. */
-    private boolean decide(Query q, boolean mayWait) {
-        boolean behind = mayWait && !q.kin.held.isEmpty() && !q.kin.held.contains(q);
-        Choice choice = choose(q);
-        double prediction = choice == null ? q.kin.meanMin * RequestClass.SIZE_LEAST
-                : choice.prediction + (behind ? q.kin.wait : 0);
-        if (choice == null && !mayWait || payoff(q, prediction, choice != null && choice.full) < 0) {
-            close(q, true);
-        } else if (choice == null || behind || mayWait && !starts(q, choice.host)) {
-            unsent.add(q);
-            q.kin.held.add(q);
-            arm();
+    /** Sends a request, refuses it, or holds it behind others of its class; returns false if it is held. */
+    private boolean decide(Query query, boolean mayHold) {
+        boolean queued = mayHold && !query.requestClass.heldQueries.isEmpty()
+                && !query.requestClass.heldQueries.contains(query);
+        Choice choice = choose(query);
+        double prediction = choice == null ? query.requestClass.meanMinDelay * RequestClass.MIN_SIZE
+                : choice.prediction + (queued ? query.requestClass.meanWait : 0);
+        if (choice == null && !mayHold || payoff(query, prediction, choice != null && choice.full) < 0) {
+            close(query, true);
+        } else if (choice == null || queued || mayHold && !mayStart(query, choice.engine)) {
+            unsent.add(query);
+            query.requestClass.heldQueries.add(query);
+            scheduleHeldCheck();
             return false;
         } else {
-            send(q, choice);
+            send(query, choice);
         }
         return true;
     }
 
-    /** An engine and the delay predicted there. */
-    private record Choice(EngineEstimate host, double prediction, boolean full) { }
+    private record Choice(EngineEstimate engine, double prediction, boolean full) { }
 
-    /** The eligible engine with the lowest prediction, under the mark before others; null if none. */
-    private Choice choose(Query q) {
-        Choice best = best(q, false);
-        return best != null ? best : best(q, true);
+    /** Returns the eligible engine with the lowest prediction, preferring those with room; null if none. */
+    private Choice choose(Query query) {
+        Choice best = bestEngine(query, false);
+        return best != null ? best : bestEngine(query, true);
     }
 
-    private Choice best(Query q, boolean evenSick) {
-        q.kin.survey(hosts.values(), now);
+    private Choice bestEngine(Query query, boolean includeUnhealthy) {
+        query.requestClass.updateLoadRatio(engines.values(), now);
         Choice best = null;
-        double least = 0;
-        boolean roomy = false;
-        int most = q.tables < 0 || q.kin.type.locksTables() ? sample : sample * SPILL_SAMPLES;
-        for (int i = 0, seen = 0; i < ranked.size() && (seen < sample || !roomy && seen < most); i++) {
-            Collections.swap(ranked, i, next(q, i));
-            EngineEstimate h = ranked.get(i);
-            if (!evenSick && (h == q.avoid || h.health.odds(now) > 1) || !maySend(q, h)) {
+        double lowestRank = 0;
+        boolean hasRoom = false;
+        int maxSeen = query.tableGroup < 0 || query.requestClass.settings.locksTables() ? sampleSize
+                : sampleSize * OVERFLOW_SAMPLES;
+        for (int i = 0, seen = 0; i < candidates.size()
+                && (seen < sampleSize || !hasRoom && seen < maxSeen); i++) {
+            Collections.swap(candidates, i, nextSampleIndex(query, i));
+            EngineEstimate engine = candidates.get(i);
+            if (!includeUnhealthy && (engine == query.engineToAvoid || engine.health.odds(now) > 1)
+                    || !maySend(query, engine)) {
                 continue;
             }
             seen++;
-            double prediction = predict(q, h);
-            double rank = prediction * (1 + h.health.odds(now));
-            boolean room = h.fill(q.kin.type.threads(), now, mark) <= 1;
-            if (best == null || (room == roomy ? rank < least : room)) {
-                least = rank;
-                best = new Choice(h, prediction, !room);
-                roomy = room;
+            double prediction = predict(query, engine);
+            double rank = prediction * (1 + engine.health.odds(now));
+            boolean room = engine.fullness(query.requestClass.settings.threads(), now, concurrencyLimit) <= 1;
+            if (best == null || (room == hasRoom ? rank < lowestRank : room)) {
+                lowestRank = rank;
+                best = new Choice(engine, prediction, !room);
+                hasRoom = room;
             }
         }
         return best;
     }
 
-    /** The engine to look at next, among those from there on: by its group of tables where that is known. */
-    private int next(Query q, int from) {
-        int drawn = from + random.nextInt(ranked.size() - from);
-        if (q.tables < 0) {
+    /** Returns the index, from {@code from} on, of the engine to examine next: by table group where known. */
+    private int nextSampleIndex(Query query, int from) {
+        int drawn = from + random.nextInt(candidates.size() - from);
+        if (query.tableGroup < 0) {
             return drawn;
-        } else if (q.kin.type.locksTables()) {
-            // Loads of a group stand behind each other too: they are spread, only not where its queries meet.
-            int other = from + random.nextInt(ranked.size() - from);
-            return Placement.before(ranked.get(drawn).seed, ranked.get(other).seed, q.tables) ? other : drawn;
-        }
-        return sample > SAMPLE_LEAST ? Placement.first(ranked, from, q.tables)
-                : Placement.drawn(ranked, from, drawn, q.tables, random);
-    }
-
-    /** The paper's prediction, for this query's size, at this engine's crowd. */
-    private double predict(Query q, EngineEstimate h) {
-        Predictor p = h.predictors.get(q.kin.index);
-        double crowd = h.crowd(q.kin.type.threads(), now);
-        double others = q.kin.usualDelay() * h.pace.factor(now) * crowd / q.kin.meanCrowd;
-        double own = p.t > 0 ? p.predict(now, q.kin.rho, crowd, q.kin.meanCrowd) : others;
-        double base = others * StrictMath.pow(own / others, p.trust(now));
-        boolean waits = q.kin.type.locksTables() || q.kin.type.waitsForTableLock();
-        return base * q.size * (waits && h.holding.containsKey(q.tables) ? HELD_FACTOR : 1);
-    }
-
-    /** Expected payoff of sending over refusing: Phi((T - prediction) / sigma), less the price when full. */
-    private double payoff(Query q, double prediction, boolean full) {
-        double left = Math.min(q.aimAt, q.deadline) - now - prediction;
-        double onTime = Gaussian.phi(left / Math.max(1, StrictMath.sqrt(q.kin.errorSquare)));
-        RequestClassSettings type = q.kin.type;
-        double earned = onTime + (1 - onTime) * (type.lateWorth() - 1);
-        double price = full ? PRICE * (q.overShare ? 1 : Math.max(0, q.size / DEAR_SIZE - 1)) : 0;
-        return type.worth() * ((q.overShare ? settings.overShareWorth() : 1) * earned - price);
-    }
-
-    /** Under the mark: start; above it by a chance that falls with the excess. */
-    private boolean starts(Query q, EngineEstimate h) {
-        double over = h.fill(q.kin.type.threads(), now, mark) - 1;
-        return over <= 0 || random.nextDouble() >= over / MARK_FALL;
-    }
-
-    private void send(Query q, Choice choice) {
-        EngineEstimate h = choice.host;
-        unsent.remove(q);
-        q.kin.held.remove(q);
-        if (!q.attempts.isEmpty()) {
+        } else if (query.requestClass.settings.locksTables()) {
+            // Loads of a group also wait for each other: spread them, away from the engines of its queries.
+            int other = from + random.nextInt(candidates.size() - from);
+            return Placement.ranksBefore(candidates.get(drawn).placementSeed,
+                    candidates.get(other).placementSeed, query.tableGroup) ? other : drawn;
+        }
+        return sampleSize > MIN_SAMPLE ? Placement.firstRanked(candidates, from, query.tableGroup)
+                : Placement.firstRankedOfSample(candidates, from, drawn, query.tableGroup, random);
+    }
+
+    /** Returns the paper's predicted delay, for this query's size and the contention at this engine. */
+    private double predict(Query query, EngineEstimate engine) {
+        Predictor predictor = engine.predictors.get(query.requestClass.index);
+        double contention = engine.contention(query.requestClass.settings.threads(), now);
+        double typical = query.requestClass.typicalDelay() * engine.slowness.factor(now) * contention
+                / query.requestClass.meanContention;
+        double own = predictor.recentDelay > 0 ? predictor.predict(now, query.requestClass.loadRatio,
+                contention, query.requestClass.meanContention) : typical;
+        double base = typical * StrictMath.pow(own / typical, predictor.ownWeight(now));
+        boolean waits = query.requestClass.settings.locksTables()
+                || query.requestClass.settings.waitsForTableLock();
+        return base * query.size * (waits && engine.locks.containsKey(query.tableGroup) ? LOCK_FACTOR : 1);
+    }
+
+    /** The payoff of sending over refusing: Phi((T - prediction) / sigma), less the price when full. */
+    private double payoff(Query query, double prediction, boolean full) {
+        double left = Math.min(query.latencyTargetAt, query.deadline) - now - prediction;
+        double onTime = Gaussian.cdf(left / Math.max(1, StrictMath.sqrt(query.requestClass.meanSquareError)));
+        RequestClassSettings classSettings = query.requestClass.settings;
+        double earned = onTime + (1 - onTime) * (classSettings.lateWorth() - 1);
+        double price = full ? FULL_ENGINE_PRICE
+                * (query.overTenantShare ? 1 : Math.max(0, query.size / EXPENSIVE_SIZE - 1)) : 0;
+        return classSettings.worth()
+                * ((query.overTenantShare ? settings.overShareWorth() : 1) * earned - price);
+    }
+
+    /** True below the concurrency limit; above it with a probability that falls with the excess. */
+    private boolean mayStart(Query query, EngineEstimate engine) {
+        double excess = engine.fullness(query.requestClass.settings.threads(), now, concurrencyLimit) - 1;
+        return excess <= 0 || random.nextDouble() >= excess / START_CHANCE_RANGE;
+    }
+
+    private void send(Query query, Choice choice) {
+        EngineEstimate engine = choice.engine;
+        unsent.remove(query);
+        query.requestClass.heldQueries.remove(query);
+        if (!query.attempts.isEmpty()) {
             if (settings.safetyRules().retryAllowance() >= 0) {
-                extra.add(now, 1);
+                recentRetries.add(now, 1);
             }
         } else {
-            q.kin.wait += RequestClass.CLASS_GAIN * (now - q.arrivedAt - q.kin.wait);
-        }
-        Attempt a = new Attempt(q, h, q.attempts.size(), now, choice.prediction);
-        q.attempts.add(a);
-        sent.add(a);
-        q.attemptsOut++;
-        if (q.line != null) {
-            q.line.attemptsOut++;
-        }
-        h.book(a, 1);
-        if (h.coldSince > 0 && now < h.coldSince + settings.safetyRules().warmUpTime()) {
-            h.coldSends.add(now, coldWeight(q));
-        }
-        Permissions may = settings.permissions();
-        a.granted = !may.memoryGrants() ? 0 : q.memory * q.kin.memoryRatio;
-        int priority = priority(q.kin);
-        if (may.priority() && priority != PRIORITY_USUAL || a.granted > 0) {
-            out.setAttemptOptions(q.id, a.granted, priority);
-        }
-        out.send(q.id, h.id, timeOut(q));
-        arm();
-    }
-
-    /**
-     * Where a late answer earns nothing, work ends when it is late even if the query needs twice what was
-     * told. Could harm where queries cost far more, or where repeats can't be told from first tries.
-     */
-    private long timeOut(Query q) {
-        RequestClassSettings type = q.kin.type;
-        boolean worthless = type.retrySafety() == RetrySafety.SAFE && type.lateWorth() <= 0;
-        long left = 2 * q.aimAt - q.askedAt - type.latencyTarget() - now;
+            query.requestClass.meanWait += RequestClass.CLASS_SMOOTHING
+                    * (now - query.arrivedAt - query.requestClass.meanWait);
+        }
+        Attempt attempt = new Attempt(query, engine, query.attempts.size(), now, choice.prediction);
+        query.attempts.add(attempt);
+        attemptsInFlight.add(attempt);
+        query.attemptsInFlight++;
+        if (query.keyQueue != null) {
+            query.keyQueue.attemptsInFlight++;
+        }
+        engine.countAttempt(attempt, 1);
+        if (engine.coldSince > 0 && now < engine.coldSince + settings.safetyRules().warmUpTime()) {
+            engine.coldWork.add(now, chargedWork(query));
+        }
+        Permissions permissions = settings.permissions();
+        attempt.memoryGrant = !permissions.memoryGrants() ? 0 : query.memory * query.requestClass.memoryRatio;
+        int priority = priority(query.requestClass);
+        if (permissions.priority() && priority != PRIORITY_DEFAULT || attempt.memoryGrant > 0) {
+            actions.setAttemptOptions(query.id, attempt.memoryGrant, priority);
+        }
+        actions.send(query.id, engine.id, attemptTimeout(query));
+        scheduleHeldCheck();
+    }
+
+    /** Where a late answer earns nothing, an attempt times out when it would be late even if the query needed
+     * twice the estimated work. Could harm where queries cost far more, or where retries are not marked. */
+    private long attemptTimeout(Query query) {
+        RequestClassSettings classSettings = query.requestClass.settings;
+        boolean worthless = classSettings.retrySafety() == RetrySafety.SAFE && classSettings.lateWorth() <= 0;
+        long left = 2 * query.latencyTargetAt - query.firstRequestedAt - classSettings.latencyTarget() - now;
         return settings.permissions().cancel() && settings.clientsMarkRetries() && worthless
-                && now + left < q.deadline - ANSWER_MARGIN ? Math.max(MS, left) : 0;
+                && now + left < query.deadline - ANSWER_MARGIN_NANOS ? Math.max(MILLI_NANOS, left) : 0;
     }
 
-    /** Whether an attempt may be given up for another one. */
-    private boolean mayGiveUp(Query q) {
-        return !q.closed && q.kin.type.retrySafety() != RetrySafety.UNSAFE && settings.permissions().cancel()
-                && q.attempts.size() < settings.permissions().maxAttempts() && rationLeft();
+    private boolean mayCancelForRetry(Query query) {
+        return !query.closed && query.requestClass.settings.retrySafety() != RetrySafety.UNSAFE
+                && settings.permissions().cancel()
+                && query.attempts.size() < settings.permissions().maxAttempts() && retryBudgetLeft();
     }
 
     // ---- Held queries ----
 
-    /** Sends held queries, earliest deadline first, while there is room; refuses those too late. */
-    private void release() {
-        while (!unsent.isEmpty() && now >= unsent.first().deadline - ANSWER_MARGIN) {
+    /** Sends held queries, earliest latency target first, while there is room; refuses those too late. */
+    private void releaseHeld() {
+        while (!unsent.isEmpty() && now >= unsent.first().deadline - ANSWER_MARGIN_NANOS) {
             close(unsent.first(), true);
         }
-        TreeSet<Query> heads = new TreeSet<>(Query.BY_DEADLINE);
-        for (RequestClass kin : kinds.values()) {
-            kin.held.stream().limit(1).forEach(heads::add);
+        TreeSet<Query> heads = new TreeSet<>(Query.BY_LATENCY_TARGET);
+        for (RequestClass requestClass : requestClasses.values()) {
+            requestClass.heldQueries.stream().limit(1).forEach(heads::add);
         }
         while (!heads.isEmpty()) {
-            Query q = heads.pollFirst();
-            if (decide(q, true) && !q.kin.held.isEmpty()) {
-                heads.add(q.kin.held.first());
+            Query query = heads.pollFirst();
+            if (decide(query, true) && !query.requestClass.heldQueries.isEmpty()) {
+                heads.add(query.requestClass.heldQueries.first());
             }
         }
     }
 
-    private void arm() {
-        if (unsent.isEmpty() && (sent.isEmpty() || settings.statusUpdateInterval() == 0)) {
+    private void scheduleHeldCheck() {
+        if (unsent.isEmpty() && (attemptsInFlight.isEmpty() || settings.statusInterval() == 0)) {
             return;
         }
-        long due = unsent.isEmpty() ? now + settings.statusUpdateInterval() / 2
-                : Math.max(now + 1, Math.min(now + SWEEP, unsent.first().deadline - ANSWER_MARGIN));
-        if (due < wakeAt) {
-            wakeAt = due;
-            out.setTimer(due - now, TIMER_SWEEP);
+        long dueAt = unsent.isEmpty() ? now + settings.statusInterval() / 2 : Math.max(now + 1,
+                Math.min(now + HELD_CHECK_NANOS, unsent.first().deadline - ANSWER_MARGIN_NANOS));
+        if (dueAt < heldCheckAt) {
+            heldCheckAt = dueAt;
+            actions.setTimer(dueAt - now, TIMER_HELD_CHECK);
         }
     }
 
     @Override
     public void onTimer(long time, long handle) {
-        tick(time);
+        advanceClock(time);
         if (handle == TIMER_PROBE) {
-            probe();
-        } else if (handle == TIMER_SWEEP && now >= wakeAt) {
-            awakeAt = now > wakeAt + SWEEP ? now : awakeAt;
-            wakeAt = Long.MAX_VALUE;
-            new ArrayList<>(sent).forEach(this::watch);
-            double least = RequestClass.SIZE_LEAST;
-            new ArrayList<>(unsent).stream().filter(q -> payoff(q, q.kin.meanMin * least, false) < 0)
-                    .forEach(q -> close(q, true));
-            new ArrayList<>(lines.values()).forEach(this::advance);
-            release();
-            arm();
-        }
-    }
-
-    /**
-     * An attempt whose notes stay away, while this front did not stand still, has a sick engine or a lost
-     * answer, and is tried elsewhere where its class allows. Could harm where notes get lost, answers not.
-     */
-    private void watch(Attempt a) {
-        double silence = now - Math.max(a.heardAt, awakeAt);
-        if (settings.statusUpdateInterval() > 0 && silence > SILENT_NOTES * settings.statusUpdateInterval()) {
-            a.heardAt = now;
-            a.host.health.lost(now);
-            if (mayGiveUp(a.query)) {
-                out.cancel(a.query.id, a.number);
+            sendProbes();
+        } else if (handle == TIMER_HELD_CHECK && now >= heldCheckAt) {
+            resumedAt = now > heldCheckAt + HELD_CHECK_NANOS ? now : resumedAt;
+            heldCheckAt = Long.MAX_VALUE;
+            new ArrayList<>(attemptsInFlight).forEach(this::cancelIfSilent);
+            double minSize = RequestClass.MIN_SIZE;
+            new ArrayList<>(unsent).stream()
+                    .filter(query -> payoff(query, query.requestClass.meanMinDelay * minSize, false) < 0)
+                    .forEach(query -> close(query, true));
+            new ArrayList<>(keyQueues.values()).forEach(this::sendNextOfKey);
+            releaseHeld();
+            scheduleHeldCheck();
+        }
+    }
+
+    /** An attempt without status updates, while this front was not stalled, has an unhealthy engine or a lost
+     * response; it is retried if its class allows it. Could harm where updates get lost, responses not. */
+    private void cancelIfSilent(Attempt attempt) {
+        double silence = now - Math.max(attempt.lastStatusAt, resumedAt);
+        if (settings.statusInterval() > 0 && silence > SILENT_INTERVALS * settings.statusInterval()) {
+            attempt.lastStatusAt = now;
+            attempt.engine.health.recordLoss(now);
+            if (mayCancelForRetry(attempt.query)) {
+                actions.cancel(attempt.query.id, attempt.number);
             }
         }
     }
 
-    /** Lets the first request of a key go when its turn has come. */
-    private void advance(KeyQueue line) {
-        if (line.waiting.isEmpty()) {
-            if (line.attemptsOut == 0 && now >= line.restUntil) {
-                lines.remove(line.key);
+    private void sendNextOfKey(KeyQueue queue) {
+        if (queue.waiting.isEmpty()) {
+            if (queue.attemptsInFlight == 0 && now >= queue.cooldownUntil) {
+                keyQueues.remove(queue.orderingKey);
             }
             return;
         }
-        Query q = line.waiting.peekFirst();
-        if (q.attempts.isEmpty() && keyTurn(q) && !q.kin.held.contains(q)) {
-            decide(q, true);
+        Query query = queue.waiting.peekFirst();
+        if (query.attempts.isEmpty() && isKeyTurn(query) && !query.requestClass.heldQueries.contains(query)) {
+            decide(query, true);
         }
-        arm();
+        scheduleHeldCheck();
     }
 
-    // ---- What comes back ----
+    // ---- Feedback from engines ----
 
     @Override
-    public void onOutcome(long time, Outcome o) {
-        tick(time);
-        Attempt a = attempt(o.id(), o.attempt());
-        if (a == null) {
+    public void onOutcome(long time, Outcome outcome) {
+        advanceClock(time);
+        Attempt attempt = attemptInFlight(outcome.id(), outcome.attempt());
+        if (attempt == null) {
             return;
         }
-        Query q = a.query;
-        settle(a, o);
-        learn(a, o);
-        if (o.last() && !q.closed) {
-            finish(q);
-        } else if (!q.closed && q.attemptsOut == 0) {
-            tryAgain(q, a);
-        }
-        if (q.closed && q.attemptsOut == 0) {
-            queries.remove(q.id);
-        }
-        if (q.line != null) {
-            advance(q.line);
-        }
-        release();
-    }
-
-    /** Books an attempt off. */
-    private void settle(Attempt a, Outcome o) {
-        Query q = a.query;
-        a.live = false;
-        sent.remove(a);
-        q.attemptsOut--;
-        a.host.book(a, -1);
-        if (!o.status().neverRan && q.firstDoubt == null) {
-            q.firstDoubt = a.host;
-            q.firstDoubtAt = a.sentAt;
-        }
-        if (q.line != null) {
-            q.line.attemptsOut--;
-            if (o.status() == AttemptStatus.TIMEOUT || o.status() == AttemptStatus.RESET || o.status() == AttemptStatus.CANCELLED) {
-                q.line.restUntil = now + settings.safetyRules().keyCooldown();
+        Query query = attempt.query;
+        recordEnd(attempt, outcome);
+        learn(attempt, outcome);
+        if (outcome.last() && !query.closed) {
+            finish(query);
+        } else if (!query.closed && query.attemptsInFlight == 0) {
+            retryOrAnswer(query, attempt);
+        }
+        if (query.closed && query.attemptsInFlight == 0) {
+            queries.remove(query.id);
+        }
+        if (query.keyQueue != null) {
+            sendNextOfKey(query.keyQueue);
+        }
+        releaseHeld();
+    }
+
+    private void recordEnd(Attempt attempt, Outcome outcome) {
+        Query query = attempt.query;
+        attempt.inFlight = false;
+        attemptsInFlight.remove(attempt);
+        query.attemptsInFlight--;
+        attempt.engine.countAttempt(attempt, -1);
+        if (!outcome.status().neverRan && query.uncertainEngine == null) {
+            query.uncertainEngine = attempt.engine;
+            query.uncertainAt = attempt.sentAt;
+        }
+        if (query.keyQueue != null) {
+            query.keyQueue.attemptsInFlight--;
+            if (outcome.status() == AttemptStatus.TIMEOUT || outcome.status() == AttemptStatus.RESET
+                    || outcome.status() == AttemptStatus.CANCELLED) {
+                query.keyQueue.cooldownUntil = now + settings.safetyRules().keyCooldown();
             }
         }
     }
 
-    /** A further attempt where it is allowed and pays, now or when there is room; else the final answer. */
-    private void tryAgain(Query q, Attempt failed) {
-        q.avoid = failed.spilt ? null : failed.host;
-        if (now >= q.deadline - ANSWER_MARGIN || q.errors >= ERRORS_MOST) {
-            close(q, false);
+    /** Retries where that is allowed and pays, now or once there is room; else gives the final answer. */
+    private void retryOrAnswer(Query query, Attempt failed) {
+        query.engineToAvoid = failed.spilled ? null : failed.engine;
+        if (now >= query.deadline - ANSWER_MARGIN_NANOS || query.errorCount >= MAX_ERRORS) {
+            close(query, false);
             return;
         }
-        decide(q, attemptAllowed(q) && (q.firstDoubt == null || q.kin.type.retrySafety() == RetrySafety.SAFE));
+        decide(query, attemptAllowed(query) && (query.uncertainEngine == null
+                || query.requestClass.settings.retrySafety() == RetrySafety.SAFE));
     }
 
-    /** Only successes teach delays; every outcome speaks of health. */
-    private void learn(Attempt a, Outcome o) {
-        EngineEstimate h = a.host;
-        h.report(o.load(), o.status() == AttemptStatus.FULL || o.status() == AttemptStatus.TIMEOUT && a.endsAt > now, now);
-        judge(a, o.status());
-        if (o.status() != AttemptStatus.OK) {
+    /** Updates delay estimates from successes only, and the engine's health from every outcome. */
+    private void learn(Attempt attempt, Outcome outcome) {
+        EngineEstimate engine = attempt.engine;
+        engine.recordLoad(outcome.load(), outcome.status() == AttemptStatus.FULL
+                || outcome.status() == AttemptStatus.TIMEOUT && attempt.projectedEndAt > now, now);
+        updateHealth(attempt, outcome.status());
+        if (outcome.status() != AttemptStatus.OK) {
             return;
         }
-        RequestClass kin = a.query.kin;
-        if (a.granted > 0 && !a.spilt) {
-            kin.learnMemory(false);
+        RequestClass requestClass = attempt.query.requestClass;
+        if (attempt.memoryGrant > 0 && !attempt.spilled) {
+            requestClass.adjustMemoryRatio(false);
         }
-        double size = a.query.size;
-        if (o.work() > 0) {
-            size = kin.sizeOf(o.work());
-            kin.learnWork(o.work(), a.query.toldWork);
+        double size = attempt.query.size;
+        if (outcome.work() > 0) {
+            size = requestClass.relativeSize(outcome.work());
+            requestClass.recordWork(outcome.work(), attempt.query.estimatedWork);
         } else {
-            double told = a.query.toldWork;
-            kin.learnWork(told > 0 ? told : o.rtt() * (double) kin.type.threads() / kin.rho, 0);
-        }
-        double error = o.rtt() - a.prediction;
-        kin.errorSquare += RequestClass.CLASS_GAIN * (error * error - kin.errorSquare);
-        moveMark(kin);
-        double crowd = h.crowd(kin.type.threads(), now);
-        Predictor p = h.predictors.get(kin.index);
-        kin.usual = smooth(kin.usual, Math.max(1, o.rtt() / size));
-        h.pace.hear(o.rtt() / size / kin.usual * kin.meanCrowd / crowd, 1, now);
-        p.learn(o.rtt() / size, now, crowd, kin);
-        kin.ratio = smooth(kin.ratio, Math.min(RequestClass.RHO_MAX, Math.max(1, o.rtt() / size / p.tMin)));
-    }
-
-    /** Moves a mean toward a new value by ratio; the first value stands as it is. */
+            double estimate = attempt.query.estimatedWork;
+            requestClass.recordWork(estimate > 0 ? estimate
+                    : outcome.rtt() * (double) requestClass.settings.threads() / requestClass.loadRatio, 0);
+        }
+        double error = outcome.rtt() - attempt.prediction;
+        requestClass.meanSquareError +=
+                RequestClass.CLASS_SMOOTHING * (error * error - requestClass.meanSquareError);
+        adjustConcurrencyLimit(requestClass);
+        double contention = engine.contention(requestClass.settings.threads(), now);
+        Predictor predictor = engine.predictors.get(requestClass.index);
+        requestClass.recentDelay = smooth(requestClass.recentDelay, Math.max(1, outcome.rtt() / size));
+        engine.slowness.record(outcome.rtt() / size / requestClass.recentDelay * requestClass.meanContention
+                / contention, 1, now);
+        predictor.recordSuccess(outcome.rtt() / size, now, contention, requestClass);
+        requestClass.recentLoadRatio = smooth(requestClass.recentLoadRatio, Math.min(
+                RequestClass.MAX_LOAD_RATIO, Math.max(1, outcome.rtt() / size / predictor.minDelay)));
+    }
+
+    /** Moves a geometric mean towards a new value; the first value is taken unchanged. */
     static double smooth(double mean, double value) {
-        return mean == 0 ? value : mean * StrictMath.pow(value / mean, DELAY_GAIN);
-    }
-
-    /**
-     * The mark falls while light queries stay slow though they go first on short cores: engines are then past
-     * the level up to which they do more. Could harm where another cause slows them; hence the floor.
-     */
-    private void moveMark(RequestClass kin) {
-        if (light(kin)) {
-            double step = MARK_STEP * Math.min(1, (double) (now - markedAt) / SECOND);
-            markedAt = now;
-            double moved = mark * (kin.rho > MARK_RHO ? 1 - step : 1 + step);
-            mark = Math.max(MARK_LEAST, Math.min(EngineEstimate.MARK, moved));
-        }
-    }
-
-    /**
-     * An error counts against its engine once another one has served the request: what no engine can use says
-     * nothing of them. Could harm where all engines fail: then none is told apart.
-     */
-    private void judge(Attempt a, AttemptStatus end) {
-        EngineEstimate h = a.host;
-        Query q = a.query;
-        if (end == AttemptStatus.ERROR) {
-            h.health.answered();
-            q.errors++;
-            q.failedBy = q.failedBy == null ? h : q.failedBy;
-        } else if (end == AttemptStatus.OK) {
-            h.health.served(usual, now);
-            if (q.failedBy != null && q.failedBy != h) {
-                q.failedBy.health.failed(usual, now);
+        return mean == 0 ? value : mean * StrictMath.pow(value / mean, DELAY_SMOOTHING);
+    }
+
+    /** The limit falls while light queries stay slow despite their priority on busy cores: engines are then
+     * past the load up to which throughput grows. Could harm if another cause slows them; hence the minimum. */
+    private void adjustConcurrencyLimit(RequestClass requestClass) {
+        if (isLight(requestClass)) {
+            double step = LIMIT_STEP_PER_SECOND * Math.min(1, (double) (now - limitUpdatedAt) / SECOND_NANOS);
+            limitUpdatedAt = now;
+            double next = concurrencyLimit * (requestClass.loadRatio > OVERLOAD_RATIO ? 1 - step : 1 + step);
+            concurrencyLimit = Math.max(MIN_LIMIT, Math.min(EngineEstimate.MAX_LIMIT, next));
+        }
+    }
+
+    /** An error counts against its engine only once another engine has served the request: a request that no
+     * engine can serve is evidence against none. Could harm where all engines fail: then none stands out. */
+    private void updateHealth(Attempt attempt, AttemptStatus status) {
+        EngineEstimate engine = attempt.engine;
+        Query query = attempt.query;
+        if (status == AttemptStatus.ERROR) {
+            engine.health.recordAnswer();
+            query.errorCount++;
+            query.firstFailedBy = query.firstFailedBy == null ? engine : query.firstFailedBy;
+        } else if (status == AttemptStatus.OK) {
+            engine.health.recordSuccess(failureRate, now);
+            if (query.firstFailedBy != null && query.firstFailedBy != engine) {
+                query.firstFailedBy.health.recordFailure(failureRate, now);
             }
-        } else if (end == AttemptStatus.CONNECT_FAILED || end == AttemptStatus.RESET
-                || end == AttemptStatus.TIMEOUT && settings.statusUpdateInterval() == 0) {
-            h.health.lost(now);
+        } else if (status == AttemptStatus.CONNECT_FAILED || status == AttemptStatus.RESET
+                || status == AttemptStatus.TIMEOUT && settings.statusInterval() == 0) {
+            engine.health.recordLoss(now);
         }
     }
 
-    /** Asks engines for their load as often as that pays, and whether one that may be lost is there. */
-    private void probe() {
-        for (EngineEstimate h : hosts.values()) {
-            boolean lost = h.health.odds(now) > LOST_ODDS;
-            if (lost && h.lostProbes == 0) {
-                h.lostProbes = 1;
-                h.probeAt = Math.min(h.probeAt, probes.next(now, hosts.size(), 1));
+    /** Probes engines for their load as often as that pays, and those that may be unreachable. */
+    private void sendProbes() {
+        for (EngineEstimate engine : engines.values()) {
+            boolean unreachable = engine.health.odds(now) > UNREACHABLE_ODDS;
+            if (unreachable && engine.unreachableProbes == 0) {
+                engine.unreachableProbes = 1;
+                engine.nextProbeAt = Math.min(engine.nextProbeAt, probeBudget.nextAt(now, engines.size(), 1));
             }
-            if (h.listed == EngineStatus.READY && now >= h.probeAt) {
-                h.lostProbes = lost ? h.lostProbes + 1 : 0;
-                h.probeAt = probes.next(now, hosts.size(), h.lostProbes);
-                out.probe(h.id);
+            if (engine.status == EngineStatus.READY && now >= engine.nextProbeAt) {
+                engine.unreachableProbes = unreachable ? engine.unreachableProbes + 1 : 0;
+                engine.nextProbeAt = probeBudget.nextAt(now, engines.size(), engine.unreachableProbes);
+                actions.probe(engine.id);
             }
         }
-        out.setTimer(PROBE_TICK, TIMER_PROBE);
+        actions.setTimer(PROBE_TICK_NANOS, TIMER_PROBE);
     }
 
     @Override
-    public void onProbeResult(long time, String engine, boolean ok, long rtt, Load load) {
-        tick(time);
-        EngineEstimate h = hosts.get(engine);
-        if (h != null && ok) {
-            h.health.answered();
-            h.report(load, false, now);
+    public void onProbeResult(long time, String engineId, boolean ok, long rtt, Load load) {
+        advanceClock(time);
+        EngineEstimate engine = engines.get(engineId);
+        if (engine != null && ok) {
+            engine.health.recordAnswer();
+            engine.recordLoad(load, false, now);
         }
     }
 
     @Override
-    public void onStatusUpdate(long time, StatusUpdate n) {
-        tick(time);
-        Attempt a = attempt(n.id(), n.attempt());
-        if (a == null) {
+    public void onStatusUpdate(long time, StatusUpdate update) {
+        advanceClock(time);
+        Attempt attempt = attemptInFlight(update.id(), update.attempt());
+        if (attempt == null) {
             return;
         }
-        long since = now - a.heardAt;
-        a.heardAt = now;
-        if (n.kind() == StatusKind.SPILL) {
-            spill(a, n.amount());
-        } else if (n.kind() != StatusKind.PROGRESS) {
-            stand(a, n.kind(), since);
+        long elapsed = now - attempt.lastStatusAt;
+        attempt.lastStatusAt = now;
+        if (update.kind() == StatusKind.SPILL) {
+            onSpill(attempt, update.amount());
+        } else if (update.kind() != StatusKind.PROGRESS) {
+            onWait(attempt, update.kind(), elapsed);
         } else {
-            a.stands &= n.amount() <= a.done;
-            a.stood += a.stands ? since : 0;
-            a.done = n.amount();
-            RequestClass kin = a.query.kin;
-            double whole = a.stood + (now - a.sentAt - a.stood) / Math.max(n.amount(), PROGRESS_LEAST);
-            a.endsAt = a.sentAt + (long) whole;
-            if (kin.usual > 0) {
-                a.host.pace.hear(whole / a.query.size / kin.usual, NOTE_WORTH, now);
+            attempt.waiting &= update.amount() <= attempt.progress;
+            attempt.waitedFor += attempt.waiting ? elapsed : 0;
+            attempt.progress = update.amount();
+            RequestClass requestClass = attempt.query.requestClass;
+            double projectedDelay = attempt.waitedFor
+                    + (now - attempt.sentAt - attempt.waitedFor) / Math.max(update.amount(), MIN_PROGRESS);
+            attempt.projectedEndAt = attempt.sentAt + (long) projectedDelay;
+            if (requestClass.recentDelay > 0) {
+                attempt.engine.slowness.record(projectedDelay / attempt.query.size / requestClass.recentDelay,
+                        PROJECTION_WEIGHT, now);
             }
-            if (light(kin) && whole > RUNAWAY * kin.usualDelay() * a.query.size) {
-                a.host.report(Load.NONE, true, now);
+            if (isLight(requestClass)
+                    && projectedDelay > RUNAWAY_FACTOR * requestClass.typicalDelay() * attempt.query.size) {
+                attempt.engine.recordLoad(Load.NONE, true, now);
             }
-            stopLost(a.query, a, n.amount(), whole);
-        }
-    }
-
-    /**
-     * The first spill of a query soon after its start sends it again with what it lacked: little is lost, and
-     * it would do its work several times over. Could harm where memory is short.
-     */
-    private void spill(Attempt a, double missing) {
-        Query q = a.query;
-        if (a.granted > 0 && !a.spilt) {
-            a.spilt = true;
-            q.kin.learnMemory(true);
-            if (a.number == 0 && now - a.sentAt < SPILL_EARLY && mayGiveUp(q)) {
-                q.memory = (a.granted + missing) / q.kin.memoryRatio;
-                out.cancel(q.id, a.number);
+            cancelIfHopeless(attempt.query, attempt, update.amount(), projectedDelay);
+        }
+    }
+
+    /** A query that spills for the first time soon after its start is sent again with the missing memory:
+     * little work is lost, and a spill costs its work several times over. Could harm if memory is short. */
+    private void onSpill(Attempt attempt, double missing) {
+        Query query = attempt.query;
+        if (attempt.memoryGrant > 0 && !attempt.spilled) {
+            attempt.spilled = true;
+            query.requestClass.adjustMemoryRatio(true);
+            if (attempt.number == 0 && now - attempt.sentAt < EARLY_SPILL_NANOS && mayCancelForRetry(query)) {
+                query.memory = (attempt.memoryGrant + missing) / query.requestClass.memoryRatio;
+                actions.cancel(query.id, attempt.number);
             }
         }
     }
 
-    /**
-     * A query that stands behind a load is sent elsewhere, once: only there are its tables held. What may not
-     * be repeated stays; the time it stood is no slowness. Could harm where all engines load the same tables.
-     */
-    private void stand(Attempt a, StatusKind kind, long since) {
-        Query q = a.query;
-        if (q.kin.type.retrySafety() != RetrySafety.SAFE) {
-            a.stands = true;
-            a.stood += since;
-        } else if (kind == StatusKind.WAITS_LOAD && !q.moved && mayGiveUp(q)) {
-            q.moved = true;
-            out.cancel(q.id, a.number);
+    /** A query that waits for a load is sent elsewhere, once: only there are its tables locked. One that may
+     * not be retried stays; its wait is not slowness. Could harm where all engines load the same tables. */
+    private void onWait(Attempt attempt, StatusKind kind, long elapsed) {
+        Query query = attempt.query;
+        if (query.requestClass.settings.retrySafety() != RetrySafety.SAFE) {
+            attempt.waiting = true;
+            attempt.waitedFor += elapsed;
+        } else if (kind == StatusKind.WAITS_LOAD && !query.cancelledBehindLoad && mayCancelForRetry(query)) {
+            query.cancelledBehindLoad = true;
+            actions.cancel(query.id, attempt.number);
         }
     }
 
-    /** The attempt if it is out; null for what is unknown or over. */
-    private Attempt attempt(String id, int number) {
-        Query q = queries.get(id);
-        Attempt a = q == null || number < 0 || number >= q.attempts.size() ? null : q.attempts.get(number);
-        return a == null || !a.live ? null : a;
+    /** Returns the attempt if it is in flight; null if it is unknown or has ended. */
+    private Attempt attemptInFlight(String id, int number) {
+        Query query = queries.get(id);
+        Attempt attempt = query == null || number < 0 || number >= query.attempts.size() ? null
+                : query.attempts.get(number);
+        return attempt == null || !attempt.inFlight ? null : attempt;
     }
 
-    /**
-     * Calls off an attempt that by its own progress ends after the client has left, or takes many times the
-     * predicted delay. Answers bad plans and engines that slow down under a query. Could harm a query that is
-     * long by itself, so only the first attempt is judged against the prediction.
-     */
-    private void stopLost(Query q, Attempt a, double done, double whole) {
-        boolean tooLate = a.sentAt + whole > q.deadline;
-        boolean runaway = a.number == 0 && q.kin.type.retrySafety() == RetrySafety.SAFE
-                && whole > RUNAWAY * Math.max(a.prediction, q.kin.usualDelay() * q.size);
-        if (!q.closed && settings.permissions().cancel() && done < DONE_ENOUGH && (tooLate || runaway)) {
-            out.cancel(q.id, a.number);
+    /** Cancels an attempt whose progress projects an end past the deadline, or a delay many times the
+     * predicted one: a bad plan, or an engine that slowed down. Could harm a query that is inherently
+     * long, so only the first attempt is compared with the prediction. */
+    private void cancelIfHopeless(Query query, Attempt attempt, double progress, double projectedDelay) {
+        boolean tooLate = attempt.sentAt + projectedDelay > query.deadline;
+        boolean runaway = attempt.number == 0 && query.requestClass.settings.retrySafety() == RetrySafety.SAFE
+                && projectedDelay > RUNAWAY_FACTOR
+                * Math.max(attempt.prediction, query.requestClass.typicalDelay() * query.size);
+        if (!query.closed && settings.permissions().cancel() && progress < NEARLY_DONE_PROGRESS
+                && (tooLate || runaway)) {
+            actions.cancel(query.id, attempt.number);
         }
     }
 
     @Override
     public void onAbandoned(long time, String id) {
-        tick(time);
-        Query q = queries.get(id);
-        if (q != null && !q.closed) {
-            finish(q);
+        advanceClock(time);
+        Query query = queries.get(id);
+        if (query != null && !query.closed) {
+            finish(query);
         }
     }
 
-    // ---- The list of engines ----
+    // ---- The engine list ----
 
     @Override
     public void onEngineList(long time, boolean complete, List<Engine> entries) {
-        tick(time);
+        advanceClock(time);
         if (complete) {
-            hosts.values().forEach(h -> h.listed = EngineStatus.REMOVED);
+            engines.values().forEach(engine -> engine.status = EngineStatus.REMOVED);
         }
-        for (Engine e : entries) {
-            EngineEstimate h = hosts.get(e.id());
-            if (h == null) {
-                if (e.status() == EngineStatus.REMOVED) {
+        for (Engine entry : entries) {
+            EngineEstimate engine = engines.get(entry.id());
+            if (engine == null) {
+                if (entry.status() == EngineStatus.REMOVED) {
                     continue;
                 }
-                h = new EngineEstimate(e, settings, fleets.computeIfAbsent(e.machineType(),
-                        kind -> new FleetLoad(settings.frontCount())));
-                hosts.put(e.id(), h);
-                h.probeAt = probes.first(now, hosts.size());
-                ranked.add(h);
+                engine = new EngineEstimate(entry, settings, fleetLoads.computeIfAbsent(entry.machineType(),
+                        machineType -> new FleetLoad(settings.frontCount())));
+                engines.put(entry.id(), engine);
+                engine.nextProbeAt = probeBudget.firstAt(now, engines.size());
+                candidates.add(engine);
             }
-            h.listed = e.status();
-            h.sure = e.startTimeKnown();
-            if (e.startedAt() > h.startedAt) {
-                h.restarted(e.startedAt());
+            engine.status = entry.status();
+            engine.startTimeKnown = entry.startTimeKnown();
+            if (entry.startedAt() > engine.startedAt) {
+                engine.resetAfterRestart(entry.startedAt());
             }
-            // An earlier start than thought: what was taken for cold may be warm.
-            h.startedAt = h.coldSince = Math.min(h.coldSince, e.startedAt());
+            // The engine started earlier than assumed, so one that counted as cold may be warm.
+            engine.startedAt = engine.coldSince = Math.min(engine.coldSince, entry.startedAt());
         }
-        hosts.values().removeIf(h -> h.listed == EngineStatus.REMOVED && h.attempts == 0);
-        ranked.removeIf(h -> hosts.get(h.id) != h);
-        count();
-        release();
+        engines.values()
+                .removeIf(engine -> engine.status == EngineStatus.REMOVED && engine.attemptsInFlight == 0);
+        candidates.removeIf(engine -> engines.get(engine.id) != engine);
+        updateCapacity();
+        releaseHeld();
     }
 
     @Override
     public void onDiscoveryUnreachable(long time) {
-        tick(time);
+        advanceClock(time);
         if (settings.subscriptionRequired()) {
-            out.subscribe();
+            actions.subscribe();
         }
     }
 
-    /** Takes stock of the cores that are ready, as warm as they are. */
-    private void count() {
-        countedAt = now;
-        fleets.values().forEach(FleetLoad::clear);
-        for (EngineEstimate h : hosts.values()) {
-            h.warmth = h.warmth(settings.safetyRules(), now);
-            if (h.listed == EngineStatus.READY) {
-                h.fleet.count(h.cores * h.warmth, h.attempts, h.threads);
+    /** Recounts the cores of ready engines, weighted by their warmth, and the attempts in flight there. */
+    private void updateCapacity() {
+        capacityUpdatedAt = now;
+        fleetLoads.values().forEach(FleetLoad::resetCounts);
+        for (EngineEstimate engine : engines.values()) {
+            engine.warmth = engine.warmthAt(settings.safetyRules(), now);
+            if (engine.status == EngineStatus.READY) {
+                engine.fleetLoad.addCounts(engine.cores * engine.warmth, engine.attemptsInFlight,
+                        engine.threadsInFlight);
             }
         }
     }
 
-    private void tick(long time) {
+    private void advanceClock(long time) {
         if (time < now) {
             throw new IllegalArgumentException("time runs backwards: " + time + " after " + now);
         }
         now = time;
-        if (now >= countedAt + COUNT_EVERY) {
-            count();
+        if (now >= capacityUpdatedAt + CAPACITY_UPDATE_NANOS) {
+            updateCapacity();
         }
     }
 }
--- a/src/main/java/cairnline/control/ControlApi.java
+++ b/src/main/java/cairnline/control/ControlApi.java
@@ -147,7 +147,7 @@
      */
     record RequestClassSettings(String name, long latencyTarget, double latencyTargetWorkFactor, long deadline,
                                 double worth, double lateWorth, RetrySafety retrySafety,
-                                DeduplicationScope deduplicationScope, long deduplicationWindow, boolean serialByKey,
+                                DeduplicationScope keyScope, long keyWindow, boolean serialByKey,
                                 int threads, boolean locksTables, boolean waitsForTableLock, List<String> zones,
                                 List<String> machineTypes) { }
 
@@ -173,7 +173,7 @@
     /**
      * The settings of a front, fixed at start. {@code memoryGrantCap} is the largest share of an engine's memory that
      * one query gets; {@code overShareWorth} is the part of its worth that a request beyond its tenant's share keeps;
-     * {@code subscriptionRequired} is true where the engine list must be subscribed to; {@code statusUpdateInterval} is
+     * {@code subscriptionRequired} is true where the engine list must be subscribed to; {@code statusInterval} is
      * the time between status updates on an attempt, 0 if there are none; {@code clientsMarkRetries} is true where
      * clients mark the requests that they repeat; {@code probeCost} is the cost of one probe per request, as a part
      * of the requested worth.
@@ -181,7 +181,7 @@
     record Settings(int frontIndex, int frontCount, String zone, List<RequestClassSettings> requestClasses,
                     List<Tenant> tenants, Map<String, MachineType> machineTypes, Permissions permissions,
                     SafetyRules safetyRules, double overShareWorth, double memoryGrantCap,
-                    boolean subscriptionRequired, long statusUpdateInterval, boolean clientsMarkRetries,
+                    boolean subscriptionRequired, long statusInterval, boolean clientsMarkRetries,
                     double probeCost) {
         /** Rejects settings that contradict each other. */
         public Settings {
@@ -192,7 +192,7 @@
                     "the capacity of a cold engine must lie between 0 and 1");
             require(safetyRules.retryAllowance() < 0 || safetyRules.retryWindow() > 0,
                     "a retry budget needs a window");
-            require(statusUpdateInterval >= 0, "the interval of status updates must not be negative");
+            require(statusInterval >= 0, "the interval of status updates must not be negative");
             for (RequestClassSettings settings : requestClasses) {
                 require(settings.latencyTarget() > 0 && settings.deadline() > 0 && settings.threads() >= 1,
                         "class " + settings.name() + " needs a latency target, a deadline and at least one thread");
--- a/src/main/java/cairnline/control/EngineEstimate.java
+++ b/src/main/java/cairnline/control/EngineEstimate.java
@@ -9,110 +9,123 @@
 import java.util.List;
 import java.util.Set;
 
-/** What is believed of an engine: the threads that run there, own and others', and how it does. */
+/** Estimates for one engine: its threads, of this front and of others, its speed and its health. */
 final class EngineEstimate extends EngineState {
-    /** Threads per core of all managers at the mark, up to which an engine counts as having room. */
-    static final double MARK = 2.2;
-    /** Share of memory granted at the mark; beyond it queries spill or all slow down. */
-    static final double MEMORY_MARK = 0.9;
-    /** Utilization up to which it tells how many threads run; fuller cores hide any number of them. */
-    private static final double BUSY_KNOWN = 0.85;
-    /** Further threads per core that fully busy cores stand for: enough to lie past the mark. */
-    private static final double BUSY_THREADS = 4;
-    /** Part of its time that a thread keeps a core busy; the rest it reads or writes. */
-    private static final double CPU_PART = 0.6;
-    /** A report of this age counts half, in nanoseconds. */
-    private static final long REPORT_LIFE = 1_000_000_000L;
-    /** Weight of a report in this manager's share of an engine: slow, since reports are late and noisy. */
-    private static final double SHARE_GAIN = 0.03;
-    /** Threads of a query before this manager has sent any. */
-    private static final double THREADS_PRIOR = 1.5;
+    /** Maximum of the concurrency limit: threads per core of all managers, up to which an engine has room. */
+    static final double MAX_LIMIT = 2.2;
+    /** Share of memory granted at the concurrency limit; beyond it queries spill or all slow down. */
+    static final double MEMORY_LIMIT = 0.9;
+    /** Utilization up to which it shows the number of threads; busier cores hide any number of them. */
+    private static final double MAX_TELLING_UTILIZATION = 0.85;
+    /** Further threads per core assumed at full utilization: enough to exceed the concurrency limit. */
+    private static final double SATURATED_THREADS_PER_CORE = 4;
+    /** Share of its time for which a thread keeps a core busy; the rest is input and output. */
+    private static final double CPU_TIME_SHARE = 0.6;
+    /** Age at which a report counts half. */
+    private static final long REPORT_HALF_LIFE_NANOS = 1_000_000_000L;
+    /** Weight of a report in this front's share of the engine: small, since reports are late and noisy. */
+    private static final double SHARE_SMOOTHING = 0.03;
+    /** Threads per query, assumed before this front has sent any. */
+    private static final double INITIAL_THREADS = 1.5;
 
-    final FleetLoad fleet;
+    final FleetLoad fleetLoad;
     final List<Predictor> predictors = new ArrayList<>();
     EngineHealth health = new EngineHealth();
-    RelativeSlowness pace = new RelativeSlowness();
-    long reportedAt, drawnUntil, probeAt;
-    int lostProbes;
-    double foreignThreads, share, draw;
+    RelativeSlowness slowness = new RelativeSlowness();
+    /** Times of the last load report, of the next random draw while cold, and of the next probe. */
+    long reportedAt, coldDrawUntil, nextProbeAt;
+    /** Number of consecutive probes sent while the engine may be unreachable. */
+    int unreachableProbes;
+    /** Threads of other fronts by the last report, this front's share of all threads, and the last draw. */
+    double reportedOtherThreads, frontShare, coldDraw;
 
-    EngineEstimate(Engine e, Settings settings, FleetLoad fleet) {
-        super(e, settings.machineTypes().get(e.machineType()));
-        this.fleet = fleet;
-        this.share = 1.0 / settings.frontCount();
-        settings.requestClasses().forEach(type -> predictors.add(new Predictor()));
+    EngineEstimate(Engine entry, Settings settings, FleetLoad fleetLoad) {
+        super(entry, settings.machineTypes().get(entry.machineType()));
+        this.fleetLoad = fleetLoad;
+        this.frontShare = 1.0 / settings.frontCount();
+        settings.requestClasses().forEach(each -> predictors.add(new Predictor()));
     }
 
-    void restarted(long at) {
-        startedAt = at;
-        coldSince = at;
+    /** Discards what was learned before the engine's restart. */
+    void resetAfterRestart(long restartedAt) {
+        startedAt = restartedAt;
+        coldSince = restartedAt;
         health = new EngineHealth();
-        pace = new RelativeSlowness();
-        foreignThreads = 0;
-        reportedAt = at;
-        predictors.forEach(p -> p.t = 0);
+        slowness = new RelativeSlowness();
+        reportedOtherThreads = 0;
+        reportedAt = restartedAt;
+        predictors.forEach(predictor -> predictor.recentDelay = 0);
     }
 
-    /** Bounded trust: reports move what others are thought to hold and, slowly, this front's share. */
-    void report(Load load, boolean full, long now) {
-        double busy = full ? 1 : Math.max(load.utilization() >= 0 ? load.utilization() : -1,
+    /**
+     * Records a load report, with bounded trust: it sets the estimate of others' threads and, slowly, moves
+     * this front's share. {@code full} if the engine is known to have no room, whatever the report says.
+     */
+    void recordLoad(Load load, boolean full, long now) {
+        double utilization = full ? 1 : Math.max(load.utilization() >= 0 ? load.utilization() : -1,
                 load.disk() >= 0 ? load.disk() : -1);
-        double over = Math.max(0, busy - BUSY_KNOWN) / (1 - BUSY_KNOWN);
-        double perQuery = (fleet.meanThreads + THREADS_PRIOR) / (fleet.meanAttempts + 1);
-        double all = load.inflight() >= 0 ? load.inflight() * (threads + perQuery) / (attempts + 1)
-                : cores * (Math.min(BUSY_KNOWN, busy) / CPU_PART + over * BUSY_THREADS);
+        double excess = Math.max(0, utilization - MAX_TELLING_UTILIZATION) / (1 - MAX_TELLING_UTILIZATION);
+        double perQuery = (fleetLoad.meanThreads + INITIAL_THREADS) / (fleetLoad.meanAttempts + 1);
+        double all = load.inflight() >= 0
+                ? load.inflight() * (threadsInFlight + perQuery) / (attemptsInFlight + 1)
+                : cores * (Math.min(MAX_TELLING_UTILIZATION, utilization) / CPU_TIME_SHARE
+                + excess * SATURATED_THREADS_PER_CORE);
         if (all < 0) {
             return;
         }
-        double byMemory = load.memory() > 0 ? load.memory() / MEMORY_MARK * MARK * cores : 0;
-        if (load.inflight() >= 0 || busy < BUSY_KNOWN) {
-            fleet.hear(threads, Math.max(byMemory, Math.max(all, threads)), cores, now);
-            if (threads > 0) {
-                double part = Math.min(1, threads / Math.max(all, threads));
-                share += SHARE_GAIN * trust(MARK) * (part - share);
+        double byMemory = load.memory() > 0 ? load.memory() / MEMORY_LIMIT * MAX_LIMIT * cores : 0;
+        if (load.inflight() >= 0 || utilization < MAX_TELLING_UTILIZATION) {
+            fleetLoad.recordReport(threadsInFlight, Math.max(byMemory, Math.max(all, threadsInFlight)), cores,
+                    now);
+            if (threadsInFlight > 0) {
+                double share = Math.min(1, threadsInFlight / Math.max(all, threadsInFlight));
+                frontShare += SHARE_SMOOTHING * ownWeight(MAX_LIMIT) * (share - frontShare);
             }
         }
-        foreignThreads = Math.max(0, Math.max(all, byMemory) - threads);
+        reportedOtherThreads = Math.max(0, Math.max(all, byMemory) - threadsInFlight);
         reportedAt = now;
     }
 
-    /** Others by the last report here, which as it ages gives way to what recent reports say together. */
-    double foreign(long now) {
-        double usual = fleet.others(MARK, now) * cores * warmth;
-        return usual + (foreignThreads - usual) / (1 + (double) (now - reportedAt) / REPORT_LIFE);
+    /** Estimates others' threads by the last report here, which yields to the fleet's mean as it ages. */
+    double otherThreads(long now) {
+        double mean = fleetLoad.otherThreadsPerCore(MAX_LIMIT, now) * cores * warmth;
+        return mean
+                + (reportedOtherThreads - mean) / (1 + (double) (now - reportedAt) / REPORT_HALF_LIFE_NANOS);
     }
 
-    /** How much slower than alone a query runs with what is thought to be there. */
-    double crowd(int more, long now) {
-        return 1 + (threads + foreign(now) + more) / (cores * warmth);
+    /** Returns how many times slower a query runs with the estimated threads there than alone. */
+    double contention(int moreThreads, long now) {
+        return 1 + (threadsInFlight + otherThreads(now) + moreThreads) / (cores * warmth);
     }
 
-    /** How far own threads tell of all: by how many of them the mark would mean. */
-    private double trust(double mark) {
-        return FleetLoad.trust(share * cores * mark);
+    /** Returns the weight of own threads as evidence: it grows with how many of them reach the limit. */
+    private double ownWeight(double concurrencyLimit) {
+        return FleetLoad.ownWeight(frontShare * cores * concurrencyLimit);
     }
 
     /**
-     * Threads of all fronts against the mark; or memory. Own threads over this front's share count by how
-     * many of them the mark would mean: where that is under a query's, only own and reported ones count.
+     * Returns threads, or memory, of all fronts as a multiple of the concurrency limit; above 1 the engine is
+     * full. Own threads over this front's share are weighted by how many own threads reach the limit:
+     * where those are fewer than a query has, only own and reported threads count.
      */
-    double fill(int more, long now, double mark) {
-        double own = threads + more;
-        double trust = trust(mark);
-        return (trust * own / share + (1 - trust) * (own + foreign(now))) / (cores * warmth * mark);
+    double fullness(int moreThreads, long now, double concurrencyLimit) {
+        double own = threadsInFlight + moreThreads;
+        double weight = ownWeight(concurrencyLimit);
+        return (weight * own / frontShare + (1 - weight) * (own + otherThreads(now)))
+                / (cores * warmth * concurrencyLimit);
     }
 
-    /** Books an attempt on (1) or off (-1). */
-    void book(Attempt a, int count) {
-        add(a.query.kin.type, a.query.tables, count);
-        if (listed == EngineStatus.READY) {
-            fleet.count(0, count, count * a.query.kin.type.threads());
+    /** Adds (1) or removes (-1) an attempt. */
+    void countAttempt(Attempt attempt, int count) {
+        addAttempts(attempt.query.requestClass.settings, attempt.query.tableGroup, count);
+        if (status == EngineStatus.READY) {
+            fleetLoad.addCounts(0, count, count * attempt.query.requestClass.settings.threads());
         }
-        Set<Attempt> inFlight = predictors.get(a.query.kin.index).inFlight;
+        Set<Attempt> inFlight = predictors.get(attempt.query.requestClass.index).inFlight;
         if (count > 0) {
-            inFlight.add(a);
+            inFlight.add(attempt);
         } else {
-            inFlight.remove(a);
+            inFlight.remove(attempt);
         }
     }
 }
--- a/src/main/java/cairnline/control/EngineHealth.java
+++ b/src/main/java/cairnline/control/EngineHealth.java
@@ -1,76 +1,77 @@
 package cairnline.control;
 
 /**
- * The odds that an engine is sick, by Bayes from what this front saw there; past even odds it is passed over. What was
- * seen fades, so that an engine is tried again; plain state of {@link Control}.
+ * The odds that an engine is unhealthy, by Bayes' rule from this front's attempts there; past even odds the engine is
+ * avoided. Evidence decays, so that the engine is tried again; plain state of {@link Control}.
  *
- * <p>Whether an engine is there and whether it does its work are told apart. A connection that breaks or falls silent
- * says little of the engine behind it, however many attempts it takes along; any answer, also a probe's, shows that the
- * engine is there, and nothing of the requests that it fails. Could harm where an engine answers probes and no requests:
- * then only the silence of each attempt is left to tell.
+ * <p>Reachability and the ability to serve requests are tracked apart. A connection that breaks or falls silent is weak
+ * evidence about the engine behind it, however many attempts are lost with it; any response, also to a probe, shows that
+ * the engine is reachable, but not that it serves the requests it fails. Could harm where an engine answers probes but
+ * no requests: then only the silence of each attempt gives it away.
  */
 final class EngineHealth {
-    /** Odds before anything is seen, and at most. */
-    private static final double PRIOR = 0.05, SURE = 4;
-    /** Part of its attempts that a sick engine fails, and what well ones fail at least. */
-    private static final double SICK_FAILS = 0.6, FAILS_LEAST = 0.03;
-    /** Weight of the newest outcome in how often attempts fail anywhere. */
-    private static final double GAIN = 0.05;
-    /** Time after which what was seen counts half. */
-    private static final long LIFE = 4_000_000_000L;
-    /** What a lost connection, a silent attempt or a connection that does not come up tells. */
-    private static final double LOST = 4;
-    /** Attempts on one connection are lost together: within this time they count as one. */
-    private static final long TOGETHER = 200_000_000L;
+    /** Odds before any evidence, and their upper bound. */
+    private static final double PRIOR_ODDS = 0.05, MAX_ODDS = 4;
+    /** Failure rate of an unhealthy engine, and the least failure rate assumed of healthy ones. */
+    private static final double UNHEALTHY_FAILURE_RATE = 0.6, MIN_FAILURE_RATE = 0.03;
+    /** Weight of the newest outcome in the failure rate of all engines. */
+    private static final double RATE_SMOOTHING = 0.05;
+    /** Age at which evidence counts half. */
+    private static final long EVIDENCE_HALF_LIFE_NANOS = 4_000_000_000L;
+    /** Factor on the odds for a lost connection, a silent attempt or a failed connect. */
+    private static final double LOSS_FACTOR = 4;
+    /** Attempts on one connection are lost together: losses within this time count as one. */
+    private static final long LOSS_GROUPING_NANOS = 200_000_000L;
 
-    private double failing = PRIOR, away = PRIOR;
-    private long failedAt, awayAt = Long.MIN_VALUE / 2;
+    private double failureOdds = PRIOR_ODDS, unreachableOdds = PRIOR_ODDS;
+    private long failureOddsAt, unreachableOddsAt = Long.MIN_VALUE / 2;
 
+    /** Returns the odds that the engine is unreachable or fails requests, whichever are higher. */
     double odds(long now) {
-        return Math.max(faded(failing, now - failedAt), faded(away, now - awayAt));
+        return Math.max(decayed(failureOdds, now - failureOddsAt), decayed(unreachableOdds, now - unreachableOddsAt));
     }
 
-    /** How often attempts fail anywhere: against that an engine is judged. */
-    static final class Usual {
-        private double rate = FAILS_LEAST;
+    /** The rate at which attempts fail at any engine, against which each engine is compared. */
+    static final class FailureRate {
+        private double rate = MIN_FAILURE_RATE;
 
-        private void move(double to) {
-            rate += GAIN * (to - rate);
+        private void moveTowards(double target) {
+            rate += RATE_SMOOTHING * (target - rate);
         }
     }
 
-    /** The engine has done its work. */
-    void served(Usual usual, long now) {
-        answered();
-        worked((1 - SICK_FAILS) / (1 - usual.rate), now);
-        usual.move(FAILS_LEAST);
+    /** Records that the engine has served a request. */
+    void recordSuccess(FailureRate overall, long now) {
+        recordAnswer();
+        updateFailureOdds((1 - UNHEALTHY_FAILURE_RATE) / (1 - overall.rate), now);
+        overall.moveTowards(MIN_FAILURE_RATE);
     }
 
-    /** The engine has failed a request that another one served. */
-    void failed(Usual usual, long now) {
-        worked(SICK_FAILS / usual.rate, now);
-        usual.move(SICK_FAILS);
+    /** Records that the engine has failed a request that another engine served. */
+    void recordFailure(FailureRate overall, long now) {
+        updateFailureOdds(UNHEALTHY_FAILURE_RATE / overall.rate, now);
+        overall.moveTowards(UNHEALTHY_FAILURE_RATE);
     }
 
-    private void worked(double factor, long now) {
-        failing = Math.max(PRIOR, Math.min(SURE, faded(failing, now - failedAt) * factor));
-        failedAt = now;
+    private void updateFailureOdds(double factor, long now) {
+        failureOdds = Math.max(PRIOR_ODDS, Math.min(MAX_ODDS, decayed(failureOdds, now - failureOddsAt) * factor));
+        failureOddsAt = now;
     }
 
-    /** The engine may not be there any more. */
-    void lost(long now) {
-        if (now - awayAt >= TOGETHER) {
-            away = Math.min(SURE, faded(away, now - awayAt) * LOST);
-            awayAt = now;
+    /** Records a sign that the engine may be unreachable. */
+    void recordLoss(long now) {
+        if (now - unreachableOddsAt >= LOSS_GROUPING_NANOS) {
+            unreachableOdds = Math.min(MAX_ODDS, decayed(unreachableOdds, now - unreachableOddsAt) * LOSS_FACTOR);
+            unreachableOddsAt = now;
         }
     }
 
-    /** The engine is there. */
-    void answered() {
-        away = PRIOR;
+    /** Records a response of any kind: the engine is reachable. */
+    void recordAnswer() {
+        unreachableOdds = PRIOR_ODDS;
     }
 
-    private static double faded(double odds, long age) {
-        return PRIOR + (odds - PRIOR) / (1 + (double) age / LIFE);
+    private static double decayed(double odds, long age) {
+        return PRIOR_ODDS + (odds - PRIOR_ODDS) / (1 + (double) age / EVIDENCE_HALF_LIFE_NANOS);
     }
 }
--- a/src/main/java/cairnline/control/EngineState.java
+++ b/src/main/java/cairnline/control/EngineState.java
@@ -1,48 +1,49 @@
 package cairnline.control;
 
+import cairnline.control.ControlApi.DeduplicationScope;
 import cairnline.control.ControlApi.Engine;
-import cairnline.control.ControlApi.MachineType;
 import cairnline.control.ControlApi.EngineStatus;
-import cairnline.control.ControlApi.SafetyRules;
-import cairnline.control.ControlApi.DeduplicationScope;
+import cairnline.control.ControlApi.MachineType;
 import cairnline.control.ControlApi.RequestClassSettings;
+import cairnline.control.ControlApi.SafetyRules;
 
 import java.util.HashMap;
 import java.util.Map;
 
-/** What is listed of an engine and what this front has out there; plain state of {@link Control}. */
+/** An engine's list entry and this front's attempts in flight there; plain state of {@link Control}. */
 class EngineState {
     final String id;
     final String zone;
-    final String kind;
+    final String machineType;
     final int cell;
     final int cores;
-    /** Its part of the order in which engines are looked at. */
-    final long seed;
-    /** Loads of this front that hold a group of tables here. */
-    final Map<Integer, Integer> holding = new HashMap<>();
-    /** Work sent while cold. */
-    final SlidingWindow coldSends = new SlidingWindow();
-    EngineStatus listed = EngineStatus.READY;
+    /** The engine's part of its rank in {@link Placement}. */
+    final long placementSeed;
+    /** Number of this front's loads that lock each table group here. */
+    final Map<Integer, Integer> locks = new HashMap<>();
+    /** Work sent while the engine was cold. */
+    final SlidingWindow coldWork = new SlidingWindow();
+    EngineStatus status = EngineStatus.READY;
     long startedAt;
-    /** Whether that is known; else it may not warm up before the rules' last moment. */
-    boolean sure = true;
-    /** When it is taken to have started; 0 if long ago. */
+    /** Unless true, the engine may take as long to warm up as the safety rules allow. */
+    boolean startTimeKnown = true;
+    /** The assumed start time; 0 if long ago. */
     long coldSince;
-    int attempts;
-    int threads;
-    /** Part of its capacity that it has, when last looked at. */
+    int attemptsInFlight;
+    int threadsInFlight;
+    /** The available share of the engine's capacity at the last update. */
     double warmth = 1;
 
-    EngineState(Engine e, MachineType machine) {
-        this.id = e.id();
-        this.zone = e.zone();
-        this.kind = e.machineType();
-        this.cell = e.cell();
-        this.seed = Placement.seed(e.id());
+    EngineState(Engine entry, MachineType machine) {
+        this.id = entry.id();
+        this.zone = entry.zone();
+        this.machineType = entry.machineType();
+        this.cell = entry.cell();
+        this.placementSeed = Placement.seed(entry.id());
         this.cores = machine == null ? 1 : machine.cores();
     }
 
+    /** Returns whether both engines share the deduplication keys of this scope. */
     final boolean sharesKeys(EngineState other, DeduplicationScope scope) {
         return switch (scope) {
             case ALL -> true;
@@ -51,22 +52,22 @@
         };
     }
 
-    /** Part of its capacity that it has at least: a start that is not known may be as late as now. */
-    final double warmth(SafetyRules rules, long now) {
+    /** Returns the least available share of the capacity; an unknown start may have been as late as now. */
+    final double warmthAt(SafetyRules rules, long now) {
         long age = now - coldSince;
         if (coldSince == 0 || age >= rules.warmUpTime()) {
             return 1;
         }
-        double grown = sure ? (double) Math.max(0, age) / rules.warmUpTime() : 0;
+        double grown = startTimeKnown ? (double) Math.max(0, age) / rules.warmUpTime() : 0;
         return rules.coldCapacity() + (1 - rules.coldCapacity()) * grown * grown;
     }
 
-    /** Books one attempt of a class on (1) or off (-1). */
-    final void add(RequestClassSettings type, int tables, int count) {
-        attempts += count;
-        threads += count * type.threads();
-        if (type.locksTables()) {
-            holding.merge(tables, count, (a, b) -> a + b == 0 ? null : a + b);
+    /** Adds (1) or removes (-1) an attempt of a class. */
+    final void addAttempts(RequestClassSettings classSettings, int tableGroup, int count) {
+        attemptsInFlight += count;
+        threadsInFlight += count * classSettings.threads();
+        if (classSettings.locksTables()) {
+            locks.merge(tableGroup, count, (a, b) -> a + b == 0 ? null : a + b);
         }
     }
 }
--- a/src/main/java/cairnline/control/FleetLoad.java
+++ b/src/main/java/cairnline/control/FleetLoad.java
@@ -1,86 +1,87 @@
 package cairnline.control;
 
 /**
- * What this front has out at all engines of one kind, and its part of what all fronts have there; plain state of
- * {@link Control}.
+ * This front's threads in flight at all engines of one machine type, and its share of the threads of all fronts there;
+ * plain state of {@link Control}.
  *
- * <p>A front of many meets an engine seldom: its own threads there are a handful at most, and say nothing of those of
- * the others. Over all engines together they are many, and the others' are as many times more as there are others, or as
- * the reports of engines say together.
+ * <p>One of many fronts seldom uses the same engine twice: its own threads there are a handful at most, and are no
+ * evidence of how many the other fronts have. Over all engines its own threads are many; the other fronts' threads then
+ * follow from the number of fronts, or from the engines' load reports taken together.
  */
 final class FleetLoad {
-    /** Least weight of a report in the means: some twenty reports, since one holds a handful of own threads at most. */
-    private static final double GAIN = 0.05;
-    /** Time in which reports of others' threads come down to 1/e: engines fill and empty in seconds. */
-    private static final double OTHERS_LIFE = 3e9;
-    /** Most weight of one of them, after a silence: one engine must not speak for all. */
-    private static final double OTHERS_GAIN = 0.2;
-    /** Reports that the expected share counts for at the start. */
-    private static final double PRIOR = 1;
+    /** Least weight of a report in the means: about twenty reports, since each covers only a handful of own threads. */
+    private static final double MIN_REPORT_WEIGHT = 0.05;
+    /** Time constant (decay to 1/e) of reports of others' threads: engines fill and empty within seconds. */
+    private static final double OTHER_THREADS_DECAY_NANOS = 3e9;
+    /** Greatest weight of one such report, after a silence: one engine must not determine the mean of all. */
+    private static final double MAX_REPORT_WEIGHT = 0.2;
+    /** Number of reports that the expected share counts for at the start. */
+    private static final double PRIOR_REPORTS = 1;
 
-    /** Own threads at the mark at which they say as much of all fronts as reports do; a few queries. */
-    private static final double OWN_FEW = 6;
-    /** Silence after which what reports say counts half. */
-    private static final long LIFE = 2_000_000_000L;
+    /** Own threads at the concurrency limit at which they weigh as much as reports do; a few queries. */
+    private static final double EQUAL_WEIGHT_THREADS = 6;
+    /** Age of the last report at which reports count half. */
+    private static final long REPORT_HALF_LIFE_NANOS = 2_000_000_000L;
 
-    private final double expected;
-    private double ownReported, allReported, othersReported;
-    private long heardAt;
-    private int heard;
+    private final double expectedShare;
+    private double reportedOwnThreads, reportedThreads, reportedOtherThreadsPerCore;
+    private long lastReportAt;
+    private int reportCount;
     double meanThreads, meanAttempts;
-    /** Out at the engines listed as ready, and their cores, as warm as they are. */
+    /** In flight at the engines listed as ready, and the cores of these, weighted by their warmth. */
     private int threads, attempts;
     private double cores;
 
     FleetLoad(int fronts) {
-        this.expected = 1.0 / fronts;
+        this.expectedShare = 1.0 / fronts;
     }
 
-    /** Starts to count anew. */
-    void clear() {
+    /** Resets the counts before a recount. */
+    void resetCounts() {
         threads = 0;
         attempts = 0;
         cores = 0;
     }
 
-    /** Counts what is at an engine that is listed as ready. */
-    void count(double moreCores, int moreAttempts, int moreThreads) {
+    /** Adds to the counts of engines that are listed as ready. */
+    void addCounts(double moreCores, int moreAttempts, int moreThreads) {
         cores += moreCores;
         attempts += moreAttempts;
         threads += moreThreads;
     }
 
-    /** An engine of so many cores has reported how many threads of all fronts run there, and so many are own. */
-    void hear(double own, double all, int itsCores, long now) {
-        ownReported += GAIN * (own - ownReported);
-        allReported += GAIN * (all - allReported);
-        // The fewer reports there are in a second, the more each says: a front of a hundred waits ten seconds for twenty.
-        double fresh = heard == 0 ? 0 : Math.min(OTHERS_GAIN, 1 - StrictMath.exp((heardAt - now) / OTHERS_LIFE));
-        double gain = Math.max(Math.max(GAIN, fresh), 1.0 / (++heard + PRIOR));
-        othersReported += gain * ((all - own) / itsCores - othersReported);
-        meanThreads += GAIN * (threads - meanThreads);
-        meanAttempts += GAIN * (attempts - meanAttempts);
-        heardAt = now;
+    /** Records the threads of this front ({@code own}) and of all fronts at an engine that has reported its load. */
+    void recordReport(double own, double all, int engineCores, long now) {
+        reportedOwnThreads += MIN_REPORT_WEIGHT * (own - reportedOwnThreads);
+        reportedThreads += MIN_REPORT_WEIGHT * (all - reportedThreads);
+        // The rarer reports are, the more each one counts: one of a hundred fronts gets twenty of them in ten seconds.
+        double ageWeight = reportCount == 0 ? 0
+                : Math.min(MAX_REPORT_WEIGHT, 1 - StrictMath.exp((lastReportAt - now) / OTHER_THREADS_DECAY_NANOS));
+        double weight = Math.max(Math.max(MIN_REPORT_WEIGHT, ageWeight), 1.0 / (++reportCount + PRIOR_REPORTS));
+        reportedOtherThreadsPerCore += weight * ((all - own) / engineCores - reportedOtherThreadsPerCore);
+        meanThreads += MIN_REPORT_WEIGHT * (threads - meanThreads);
+        meanAttempts += MIN_REPORT_WEIGHT * (attempts - meanAttempts);
+        lastReportAt = now;
     }
 
-    /** This front's part of all threads: as expected, moved by what reports say. */
-    double share() {
-        return Math.min(1, (ownReported + PRIOR * expected) / (allReported + PRIOR));
+    /** Returns this front's share of all threads: the expected one, corrected by reports. */
+    double frontShare() {
+        return Math.min(1, (reportedOwnThreads + PRIOR_REPORTS * expectedShare) / (reportedThreads + PRIOR_REPORTS));
     }
 
-    /** Threads of the other fronts for each core, by this front's own; by reports where its own would be too few. */
-    double others(double mark, long now) {
+    /** Estimates the other fronts' threads per core from own threads, or from reports where own ones are too few. */
+    double otherThreadsPerCore(double concurrencyLimit, long now) {
         if (cores == 0) {
             return 0;
         }
-        double trust = trust(share() * cores * mark);
-        double reported = othersReported / (1 + (double) (now - heardAt) / LIFE);
-        return trust * threads * (1 / share() - 1) / cores + (1 - trust) * reported;
+        double weight = ownWeight(frontShare() * cores * concurrencyLimit);
+        double reported = reportedOtherThreadsPerCore / (1 + (double) (now - lastReportAt) / REPORT_HALF_LIFE_NANOS);
+        return weight * threads * (1 / frontShare() - 1) / cores + (1 - weight) * reported;
     }
 
-    /** How far own threads tell of all, where they are so many when the cores are at the mark. */
-    static double trust(double ownThreads) {
-        double few = OWN_FEW / ownThreads;
-        return 1 / (1 + few * few * few * few);
+    /** Returns the weight of own threads as evidence of all, given their number at the concurrency limit. */
+    static double ownWeight(double ownThreads) {
+        double ratio = EQUAL_WEIGHT_THREADS / ownThreads;
+        return 1 / (1 + ratio * ratio * ratio * ratio);
     }
 }
--- a/src/main/java/cairnline/control/Placement.java
+++ b/src/main/java/cairnline/control/Placement.java
@@ -4,50 +4,50 @@
 import java.util.SplittableRandom;
 
 /**
- * In which order engines are looked at for a group of tables, by rendezvous hashing (highest random weight, Thaler and
+ * The order in which engines are examined for a table group, by rendezvous hashing (highest random weight, Thaler and
  * Ravishankar 1998); pure functions.
  *
- * <p>Fronts that each spread a group over all engines make every engine read every group, so that none stays warm, and
- * let every load hold up the others' queries. With the same order everywhere, without a word between them, a group's
- * queries meet on a few engines that keep it warm, and its loads keep away from there. The order
- * covers all engines evenly over all groups, and an engine that comes or goes moves only its own part.
+ * <p>If each front spread a group over all engines, every engine would read every group, none would keep it in its
+ * caches, and each load would delay the queries of all others. With the same order at every front, without any
+ * communication, a group's queries meet on a few engines that keep it warm, and its loads avoid these engines. The order
+ * spreads all groups evenly over all engines, and an engine that joins or leaves moves only its own part.
  */
 final class Placement {
     /** Odd constants of the 64-bit finalizer of MurmurHash3. */
     private static final long MIX_1 = 0xff51afd7ed558ccdL, MIX_2 = 0xc4ceb9fe1a85ec53L;
 
-    /** Engines drawn where fronts are many: a group that is a quarter of all then loads none above 1.8 times the mean. */
-    private static final int DRAWS = 4;
+    /** Engines drawn where fronts are many: a group with a quarter of all queries then loads none above 1.8 times the mean. */
+    private static final int DRAWN_ENGINES = 4;
 
     private Placement() { }
 
-    /** An engine's own part of its rank: the same at all fronts, from nothing but its id. */
-    static long seed(String engine) {
+    /** Returns an engine's own part of its rank: the same at all fronts, computed from its id alone. */
+    static long seed(String engineId) {
         long hash = 0;
-        for (int i = 0; i < engine.length(); i++) {
-            hash = mix(hash * 31 + engine.charAt(i));
+        for (int i = 0; i < engineId.length(); i++) {
+            hash = mix(hash * 31 + engineId.charAt(i));
         }
         return hash;
     }
 
-    /** Its rank for this group: queries of the group look at the engines of least rank first. */
-    static long rank(long engineSeed, int tables) {
-        return mix(engineSeed ^ mix(tables + 1L));
+    /** Returns an engine's rank for a group: queries of the group prefer the engines of lowest rank. */
+    static long rank(long engineSeed, int tableGroup) {
+        return mix(engineSeed ^ mix(tableGroup + 1L));
     }
 
-    /** Whether queries of this group look at the first engine before the second. */
-    static boolean before(long first, long second, int tables) {
-        return rank(first, tables) < rank(second, tables);
+    /** Returns whether queries of this group prefer the first engine to the second. */
+    static boolean ranksBefore(long firstSeed, long secondSeed, int tableGroup) {
+        return rank(firstSeed, tableGroup) < rank(secondSeed, tableGroup);
     }
 
-    /** The index, from there on, of the engine that queries of this group look at first. */
-    static int first(List<? extends EngineState> engines, int from, int tables) {
+    /** Returns the index, from {@code from} on, of the engine that queries of this group prefer. */
+    static int firstRanked(List<? extends EngineState> engines, int from, int tableGroup) {
         int first = from;
-        long least = rank(engines.get(from).seed, tables);
+        long lowest = rank(engines.get(from).placementSeed, tableGroup);
         for (int i = from + 1; i < engines.size(); i++) {
-            long rank = rank(engines.get(i).seed, tables);
-            if (rank < least) {
-                least = rank;
+            long rank = rank(engines.get(i).placementSeed, tableGroup);
+            if (rank < lowest) {
+                lowest = rank;
                 first = i;
             }
         }
@@ -55,17 +55,19 @@
     }
 
     /**
-     * The index, from there on, of the first in the group's order among a few engines drawn, one of them already.
-     * Fronts so many that each
-     * hears of an engine once in tens of seconds can't see that it is full: where all of them look at the same one
-     * first, the engine of a group that is much read gets all of that. Of N engines none gets more than DRAWS / N of a
-     * group so, and all groups together spread evenly.
+     * Returns the index, from {@code from} on, of the first in the group's order among a few engines drawn at random,
+     * {@code drawn} being one of them. When each of very many fronts hears of an engine only once in tens of seconds, it
+     * can't see that the engine is full: if all fronts preferred the same engine, that engine would get all queries of a
+     * hot group. With the draw, none of N engines gets more than DRAWN_ENGINES / N of a group, and all groups together
+     * spread evenly.
      */
-    static int drawn(List<? extends EngineState> engines, int from, int drawn, int tables, SplittableRandom random) {
+    static int firstRankedOfSample(List<? extends EngineState> engines, int from, int drawn, int tableGroup,
+                                   SplittableRandom random) {
         int first = drawn;
-        for (int i = 1; i < DRAWS; i++) {
+        for (int i = 1; i < DRAWN_ENGINES; i++) {
             int other = from + random.nextInt(engines.size() - from);
-            first = before(engines.get(other).seed, engines.get(first).seed, tables) ? other : first;
+            first = ranksBefore(engines.get(other).placementSeed, engines.get(first).placementSeed, tableGroup)
+                    ? other : first;
         }
         return first;
     }
--- a/src/main/java/cairnline/control/Predictor.java
+++ b/src/main/java/cairnline/control/Predictor.java
@@ -5,54 +5,56 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 
-/** The paper's three states, for one class at one engine; plain state of {@link Control}. */
+/** The paper's three-state delay prediction for one class at one engine; plain state of {@link Control}. */
 final class Predictor {
-    /** How far t min moves up to t with each success, so that it can age. */
-    private static final double MIN_AGEING = 0.005;
-    /** In flight: silence counts up to this many usual delays, so one runaway causes no refusals. */
-    private static final double ELAPSED_CAP = 2;
+    /** Share of the gap to the recent delay by which the minimum rises with each success, to let it age. */
+    private static final double MIN_DELAY_AGEING = 0.005;
+    /** Silence counts up to this many idle predictions, so that one runaway query causes no refusals. */
+    private static final double MAX_SILENCE_FACTOR = 2;
 
-    /** Successes at which an engine's own say as much as all engines'; time in which they fall to 1/e. */
-    private static final double HEARD_FEW = 8, HEARD_LIFE = 5e9;
+    /** Successes at which an engine's own delays weigh as much as all engines'; their decay to 1/e. */
+    private static final double EQUAL_WEIGHT_SUCCESSES = 8, SUCCESS_DECAY_NANOS = 5e9;
 
     final Set<Attempt> inFlight = new LinkedHashSet<>();
-    double t, tMin, crowdThen = 1;
-    long doneAt;
-    private double heard;
+    double recentDelay, minDelay, recentContention = 1;
+    long lastSuccessAt;
+    private double successes;
 
     /**
-     * Recent: t. In flight: silent time plus t min times rho; silence runs from the oldest attempt out or
-     * the last success, whichever is later. Idle: t min times rho.
+     * Recent success: the recent delay. Attempts in flight: the silence plus the minimum delay times the load
+     * ratio; silence runs from the later of the oldest attempt in flight and the last success. Idle: the
+     * minimum delay times the load ratio.
      */
-    double predict(long now, double rho, double crowd, double meanCrowd) {
-        if (now - doneAt < t * rho) {
-            return t * crowd / crowdThen;
+    double predict(long now, double loadRatio, double contention, double meanContention) {
+        if (now - lastSuccessAt < recentDelay * loadRatio) {
+            return recentDelay * contention / recentContention;
         }
-        double idle = tMin * rho * crowd / meanCrowd;
+        double idle = minDelay * loadRatio * contention / meanContention;
         if (inFlight.isEmpty()) {
             return idle;
         }
-        long since = Math.max(doneAt, inFlight.iterator().next().sentAt);
-        return Math.min(now - since, ELAPSED_CAP * idle) + idle;
+        long silentSince = Math.max(lastSuccessAt, inFlight.iterator().next().sentAt);
+        return Math.min(now - silentSince, MAX_SILENCE_FACTOR * idle) + idle;
     }
 
-    /** How much of this engine's own prediction counts, against what all engines say: by count and age. */
-    double trust(long now) {
-        double left = heard * StrictMath.exp((doneAt - now) / HEARD_LIFE);
-        return left / (left + HEARD_FEW);
+    /** Returns the weight of this engine's own prediction against that of all engines: by count and age. */
+    double ownWeight(long now) {
+        double remaining = successes * StrictMath.exp((lastSuccessAt - now) / SUCCESS_DECAY_NANOS);
+        return remaining / (remaining + EQUAL_WEIGHT_SUCCESSES);
     }
 
-    /** The first success moves what all engines say together: one query's luck must not mark one. */
-    void learn(double delay, long now, double crowd, RequestClass kin) {
-        if (t == 0) {
-            t = kin.usual;
-            tMin = kin.meanMin;
-            crowdThen = crowd;
+    /** Starts from the means of all engines: one lucky query must not make an engine look fast. */
+    void recordSuccess(double delay, long now, double contention, RequestClass requestClass) {
+        if (recentDelay == 0) {
+            recentDelay = requestClass.recentDelay;
+            minDelay = requestClass.meanMinDelay;
+            recentContention = contention;
         }
-        t = Control.smooth(t, Math.max(1, delay));
-        tMin = tMin == 0 || t < tMin ? t : tMin + MIN_AGEING * (t - tMin);
-        heard = heard * StrictMath.exp((doneAt - now) / HEARD_LIFE) + 1;
-        doneAt = now;
-        crowdThen = Control.smooth(crowdThen, crowd);
+        recentDelay = Control.smooth(recentDelay, Math.max(1, delay));
+        minDelay = minDelay == 0 || recentDelay < minDelay ? recentDelay
+                : minDelay + MIN_DELAY_AGEING * (recentDelay - minDelay);
+        successes = successes * StrictMath.exp((lastSuccessAt - now) / SUCCESS_DECAY_NANOS) + 1;
+        lastSuccessAt = now;
+        recentContention = Control.smooth(recentContention, contention);
     }
 }
--- a/src/main/java/cairnline/control/ProbeBudget.java
+++ b/src/main/java/cairnline/control/ProbeBudget.java
@@ -3,61 +3,65 @@
 import java.util.SplittableRandom;
 
 /**
- * When an engine is asked for its load; plain state of {@link Control}. Times in nanoseconds.
+ * Schedules the load probes of engines; plain state of {@link Control}. Times in nanoseconds.
  *
- * <p>Each front asking each engine every second is nothing for three fronts and six engines, but grows with fronts times
- * engines. So a front asks at most as often as its own requests pay for: then all fronts together do so too, however
- * many they are. Outside of that stand engines that may be lost, and one probe in the longest pause.
- * Each pause is drawn anew: fronts that hear of the same idle engine at the same moment all send there.
+ * <p>A probe by each front of each engine every second is negligible for three fronts and six engines, but the cost
+ * grows with fronts times engines. So a front probes at most as often as its own requests pay for; then all fronts
+ * together stay within that budget too, however many they are. Exempt from the budget are engines that may be
+ * unreachable, and one probe of each engine per longest interval. Each interval is drawn at random: fronts that learned
+ * of the same idle engine at the same moment would all send there.
  */
 final class ProbeBudget {
-    /** Part of the worth asked for that all probes together may cost, at the price told. */
-    private static final double SPEND = 0.03;
-    /** Shortest and longest pause for an engine that is there. */
-    private static final long LEAST = 1_000_000_000L, MOST = 30_000_000_000L;
-    /** Engines that one front asks in the shortest pause; more of them are asked less often each. */
-    private static final int ASKED_MOST = 50;
-    /** First pause for one that may not be there any more, and how often it doubles. */
-    private static final long LOST = 250_000_000L;
-    private static final int DOUBLINGS = 4;
-    /** Pauses are drawn between these parts of what is due. */
-    private static final double EARLY = 0.75, LATE = 1.25;
+    /** Part of the requested worth that all probes together may cost, at the configured cost of a probe. */
+    private static final double MAX_WORTH_SHARE = 0.03;
+    /** Shortest and longest interval for a reachable engine. */
+    private static final long MIN_INTERVAL_NANOS = 1_000_000_000L, MAX_INTERVAL_NANOS = 30_000_000_000L;
+    /** Engines that one front probes per shortest interval; with more engines each is probed less often. */
+    private static final int MAX_ENGINES_PER_INTERVAL = 50;
+    /** First interval for an engine that may be unreachable, and how often it doubles. */
+    private static final long UNREACHABLE_INTERVAL_NANOS = 250_000_000L;
+    private static final int MAX_DOUBLINGS = 4;
+    /** Bounds of the random factor on an interval. */
+    private static final double MIN_JITTER = 0.75, MAX_JITTER = 1.25;
     /** Time over which own requests are counted. */
-    private static final long COUNTED = 4_000_000_000L;
+    private static final long REQUEST_WINDOW_NANOS = 4_000_000_000L;
 
-    private final double perRequest;
+    private final double probesPerRequest;
     private final SplittableRandom random;
     private final SlidingWindow requests = new SlidingWindow();
     private final long startedAt;
 
-    /** {@code price} is the part of the worth asked for that a probe for each request costs; 0 if they are free. */
-    ProbeBudget(double price, long now, SplittableRandom random) {
-        this.perRequest = price > 0 ? SPEND / price : Double.MAX_VALUE;
+    /** {@code cost} is the part of the requested worth that a probe for each request costs; 0 if probes are free. */
+    ProbeBudget(double cost, long now, SplittableRandom random) {
+        this.probesPerRequest = cost > 0 ? MAX_WORTH_SHARE / cost : Double.MAX_VALUE;
         this.random = random;
         this.startedAt = now;
     }
 
-    void asked(long now) {
+    void recordRequest(long now) {
         requests.add(now, 1);
     }
 
-    /** When an engine is to be asked next, of so many; {@code lost} is how often in a row it was thought lost. */
-    long next(long now, int engines, int lost) {
-        if (lost > 0) {
-            return now + drawn(LOST << Math.min(DOUBLINGS, lost - 1));
+    /**
+     * Returns the time of an engine's next probe, given the number of engines; {@code unreachableProbes} is the number
+     * of consecutive probes for which it was assumed to be unreachable.
+     */
+    long nextAt(long now, int engines, int unreachableProbes) {
+        if (unreachableProbes > 0) {
+            return now + withJitter(UNREACHABLE_INTERVAL_NANOS << Math.min(MAX_DOUBLINGS, unreachableProbes - 1));
         }
-        double span = Math.max(LEAST, Math.min(COUNTED, now - startedAt));
-        double paid = perRequest * Math.max(1, requests.since(now - COUNTED)) / span;
-        double least = LEAST * Math.max(1, (double) engines / ASKED_MOST);
-        return now + drawn((long) Math.max(least, Math.min(MOST, engines / paid)));
+        double window = Math.max(MIN_INTERVAL_NANOS, Math.min(REQUEST_WINDOW_NANOS, now - startedAt));
+        double probeRate = probesPerRequest * Math.max(1, requests.sumSince(now - REQUEST_WINDOW_NANOS)) / window;
+        double minInterval = MIN_INTERVAL_NANOS * Math.max(1, (double) engines / MAX_ENGINES_PER_INTERVAL);
+        return now + withJitter((long) Math.max(minInterval, Math.min(MAX_INTERVAL_NANOS, engines / probeRate)));
     }
 
-    /** A first time for an engine just listed: spread over what is usually the pause. */
-    long first(long now, int engines) {
-        return now + (long) (random.nextDouble() * (next(now, engines, 0) - now));
+    /** Returns the time of the first probe of an engine just listed: spread evenly over the usual interval. */
+    long firstAt(long now, int engines) {
+        return now + (long) (random.nextDouble() * (nextAt(now, engines, 0) - now));
     }
 
-    private long drawn(long pause) {
-        return (long) (pause * (EARLY + (LATE - EARLY) * random.nextDouble()));
+    private long withJitter(long interval) {
+        return (long) (interval * (MIN_JITTER + (MAX_JITTER - MIN_JITTER) * random.nextDouble()));
     }
 }
--- a/src/main/java/cairnline/control/Query.java
+++ b/src/main/java/cairnline/control/Query.java
@@ -7,96 +7,99 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** A request that is open, or closed with an attempt still out; plain state of {@link Control}. */
+/** A request that is open, or closed with an attempt still in flight; plain state of {@link Control}. */
 final class Query {
+    static final Comparator<Query> BY_LATENCY_TARGET =
+            Comparator.<Query>comparingLong(q -> q.latencyTargetAt).thenComparingLong(q -> q.sequence);
     static final Comparator<Query> BY_DEADLINE =
-            Comparator.<Query>comparingLong(q -> q.aimAt).thenComparingLong(q -> q.sequence);
-    static final Comparator<Query> BY_EXPIRY =
             Comparator.<Query>comparingLong(q -> q.deadline).thenComparingLong(q -> q.sequence);
 
     final String id;
-    final RequestClass kin;
+    final RequestClass requestClass;
     final long arrivedAt;
-    /** When its client first asked, as far as known. */
-    final long askedAt;
+    /** When the client first sent the request, as far as known: earlier than {@link #arrivedAt} for a retry. */
+    final long firstRequestedAt;
     final long deadline;
-    final long aimAt;
+    final long latencyTargetAt;
     final long sequence;
-    final double toldWork;
-    /** Work in means of the class. */
+    /** The client's estimate of the work; 0 if it gave none. */
+    final double estimatedWork;
+    /** Expected work, as a multiple of the mean work of the class. */
     final double size;
-    /** As told, or as it turned out. */
+    /** Memory needed: as the client estimated it, or as a spill revealed it. */
     double memory;
-    final int tables;
+    final int tableGroup;
     final List<Attempt> attempts = new ArrayList<>(2);
-    int attemptsOut;
+    int attemptsInFlight;
     /** Engine and send time of the first attempt that may have run. */
-    EngineEstimate firstDoubt;
-    long firstDoubtAt;
-    /** Engine that has just failed this request. */
-    EngineEstimate avoid;
-    /** How often engines failed it, and the first that did. */
-    int errors;
-    EngineEstimate failedBy;
-    KeyQueue line;
-    /** It was called off behind a load. */
-    boolean moved;
-    /** Its tenant asked more than its share when it came. */
-    boolean overShare;
+    EngineEstimate uncertainEngine;
+    long uncertainAt;
+    /** The engine that has just failed this request. */
+    EngineEstimate engineToAvoid;
+    /** Number of errors that engines returned for it, and the first engine that returned one. */
+    int errorCount;
+    EngineEstimate firstFailedBy;
+    KeyQueue keyQueue;
+    /** Whether an attempt was cancelled because it waited for a load. */
+    boolean cancelledBehindLoad;
+    /** Whether its tenant was over its share when the request arrived. */
+    boolean overTenantShare;
     boolean closed;
 
-    Query(Request r, RequestClass kin, long now, long sequence, double work, double size,
+    Query(Request request, RequestClass requestClass, long now, long sequence, double work, double size,
           long waited) {
-        this.id = r.id();
-        this.kin = kin;
+        this.id = request.id();
+        this.requestClass = requestClass;
         this.arrivedAt = now;
-        this.askedAt = now - waited;
-        this.deadline = now + r.timeout();
-        this.toldWork = r.work();
+        this.firstRequestedAt = now - waited;
+        this.deadline = now + request.timeout();
+        this.estimatedWork = request.work();
         this.size = size;
-        this.aimAt = askedAt + kin.type.latencyTarget() + (long) (kin.type.latencyTargetWorkFactor() * work / kin.type.threads());
+        this.latencyTargetAt = firstRequestedAt + requestClass.settings.latencyTarget()
+                + (long) (requestClass.settings.latencyTargetWorkFactor() * work / requestClass.settings.threads());
         this.sequence = sequence;
-        this.memory = r.memory();
-        this.tables = r.tableGroup();
+        this.memory = request.memory();
+        this.tableGroup = request.tableGroup();
     }
 
-    /** One send of a request. */
+    /** One send of a request to an engine. */
     static final class Attempt {
         final Query query;
-        final EngineEstimate host;
+        final EngineEstimate engine;
         final int number;
         final long sentAt;
         final double prediction;
-        boolean live = true;
-        double granted;
-        boolean spilt;
-        /** When it was last heard of, and for how long it stood in a line or behind a load. */
-        long heardAt, stood;
-        /** Whether it stands there, told once, and the share done when last told. */
-        boolean stands;
-        double done;
-        /** When it ends by its own progress; 0 if it has told none. */
-        long endsAt;
+        boolean inFlight = true;
+        double memoryGrant;
+        boolean spilled;
+        /** Time of the last status update, and the total time spent waiting in a queue or for a load. */
+        long lastStatusAt, waitedFor;
+        /** Whether the attempt waits: set by a status update that reports it, cleared once progress advances. */
+        boolean waiting;
+        /** The completed share that was reported last. */
+        double progress;
+        /** The end of the attempt projected from its progress; 0 if none was reported. */
+        long projectedEndAt;
 
-        Attempt(Query query, EngineEstimate host, int number, long sentAt, double prediction) {
+        Attempt(Query query, EngineEstimate engine, int number, long sentAt, double prediction) {
             this.query = query;
-            this.host = host;
+            this.engine = engine;
             this.number = number;
             this.sentAt = sentAt;
-            this.heardAt = sentAt;
+            this.lastStatusAt = sentAt;
             this.prediction = prediction;
         }
     }
 
-    /** The requests of one key, in the order taken. */
+    /** The requests with the same ordering key, in the order of arrival; they run one at a time. */
     static final class KeyQueue {
-        final long key;
+        final long orderingKey;
         final ArrayDeque<Query> waiting = new ArrayDeque<>(2);
-        int attemptsOut;
-        long restUntil;
+        int attemptsInFlight;
+        long cooldownUntil;
 
-        KeyQueue(long key) {
-            this.key = key;
+        KeyQueue(long orderingKey) {
+            this.orderingKey = orderingKey;
         }
     }
 }
--- a/src/main/java/cairnline/control/RelativeSlowness.java
+++ b/src/main/java/cairnline/control/RelativeSlowness.java
@@ -1,39 +1,40 @@
 package cairnline.control;
 
 /**
- * How many times slower than elsewhere an engine runs what this front sends it, all classes together; plain state of
+ * How many times slower than other engines one engine runs this front's queries, over all classes; plain state of
  * {@link Control}.
  *
- * <p>A front of many has an answer of one class from one engine every few seconds: too few to tell a slow engine from a
- * long query. All classes together, with what the notes of running attempts foretell, are several times as many. The
- * less was heard and the longer ago, the nearer this is to 1, the others' mean.
+ * <p>One of many fronts gets an answer of one class from one engine every few seconds: too few to tell a slow engine
+ * from a long query. Answers of all classes, together with the delays projected from status updates, are several times
+ * as many. The fewer and older the samples, the closer the factor is to 1, the mean of the other engines.
  */
 final class RelativeSlowness {
-    /** Time in which what was heard comes down to 1/e: engines jam and recover in seconds. */
-    private static final double LIFE = 4e9;
-    /** Answers that the others' mean counts for. */
-    private static final double PRIOR = 2;
-    /** One that is off by more is a query with a bad plan or an estimate far off, not an engine. */
-    private static final double MOST = 3;
+    /** Time constant (decay to 1/e) of the samples: engines become overloaded and recover within seconds. */
+    private static final double DECAY_NANOS = 4e9;
+    /** Number of answers that the mean of the other engines counts for. */
+    private static final double PRIOR_ANSWERS = 2;
+    /** Bound for one sample: a larger one is due to a bad plan or a wrong estimate, not to the engine. */
+    private static final double MAX_LOG_RATIO = 3;
 
-    private double sum, weight;
-    private long at;
+    private double weightedLogSum, weight;
+    private long updatedAt;
 
-    /** Heard, with this weight in answers: it took or will take so many times what is usual. */
-    void hear(double times, double worth, long now) {
-        double left = left(now);
-        sum = sum * left + worth * Math.max(-MOST, Math.min(MOST, StrictMath.log(times)));
-        weight = weight * left + worth;
-        at = now;
+    /** Records a delay as a multiple of the typical one; {@code sampleWeight} is in answers. */
+    void record(double ratio, double sampleWeight, long now) {
+        double remaining = remaining(now);
+        weightedLogSum = weightedLogSum * remaining
+                + sampleWeight * Math.max(-MAX_LOG_RATIO, Math.min(MAX_LOG_RATIO, StrictMath.log(ratio)));
+        weight = weight * remaining + sampleWeight;
+        updatedAt = now;
     }
 
-    /** Times that a query takes here what it takes elsewhere. */
+    /** Returns the expected delay here as a multiple of the delay at other engines. */
     double factor(long now) {
-        double left = left(now);
-        return StrictMath.exp(sum * left / (weight * left + PRIOR));
+        double remaining = remaining(now);
+        return StrictMath.exp(weightedLogSum * remaining / (weight * remaining + PRIOR_ANSWERS));
     }
 
-    private double left(long now) {
-        return weight == 0 ? 0 : StrictMath.exp((at - now) / LIFE);
+    private double remaining(long now) {
+        return weight == 0 ? 0 : StrictMath.exp((updatedAt - now) / DECAY_NANOS);
     }
 }
--- a/src/main/java/cairnline/control/RequestClass.java
+++ b/src/main/java/cairnline/control/RequestClass.java
@@ -5,85 +5,91 @@
 import cairnline.control.ControlApi.RequestClassSettings;
 import java.util.TreeSet;
 
-/** What is learnt of a class of requests: load ratio, spread and usual work; and the queries held of it. */
+/** Estimates for one class of requests (load ratio, delay, work, memory), and its held queries. */
 final class RequestClass {
-    /** Delay of a class never heard, as a share of its aim: at the whole aim any wait would refuse it. */
-    private static final double UNHEARD_SHARE = 0.5;
-    /** Weight of the newest value in class means of work, memory and error. */
-    static final double CLASS_GAIN = 0.05;
-    /** The load ratio is held under this; above it the sums say no more than "very slow". */
-    static final double RHO_MAX = 20;
-    /** Usual work before any is known, as a share of aim times threads: high, so cold engines are spared. */
-    private static final double WORK_PRIOR = 0.5;
-    /** Share of queries that may spill at the grant; a spill costs several times what spare memory does. */
-    private static final double SPILL_SHARE = 0.1;
-    /** Sizes, in class means, are held between these: estimates are rough. */
-    static final double SIZE_LEAST = 0.3;
-    private static final double SIZE_MOST = 40;
+    /** Initial delay as a share of the latency target: with all of it any wait would refuse a query. */
+    private static final double INITIAL_DELAY_SHARE = 0.5;
+    /** Weight of the newest value in the class means of work, memory and error. */
+    static final double CLASS_SMOOTHING = 0.05;
+    /** Upper bound of the load ratio; above it the sums carry no more information than "very slow". */
+    static final double MAX_LOAD_RATIO = 20;
+    /** Initial work as a share of latency target times threads: high, so that cold engines are protected. */
+    private static final double INITIAL_WORK_SHARE = 0.5;
+    /** Share of queries that may spill; a spill costs several times as much as spare memory does. */
+    private static final double MAX_SPILL_SHARE = 0.1;
+    /** Bounds for the size of a query, in class means: estimates are imprecise. */
+    static final double MIN_SIZE = 0.3;
+    private static final double MAX_SIZE = 40;
 
-    final RequestClassSettings type;
+    final RequestClassSettings settings;
     final int index;
-    final TreeSet<Query> held = new TreeSet<>(Query.BY_DEADLINE);
-    final double priorWork;
-    final WorkEstimator estimate = new WorkEstimator();
+    final TreeSet<Query> heldQueries = new TreeSet<>(Query.BY_LATENCY_TARGET);
+    final double initialWork;
+    final WorkEstimator workEstimator = new WorkEstimator();
     double meanWork, memoryRatio = 1;
-    long patience;
-    double asked = 1, errorSquare, wait, rho = 1, usual, ratio = 1, meanMin, meanCrowd = 1;
+    long longestTimeout;
+    /** Delays are for a query of size 1; {@code recentLoadRatio} is the mean ratio of delays to minima. */
+    double requestCount = 1, meanSquareError, meanWait, loadRatio = 1, recentDelay, recentLoadRatio = 1,
+            meanMinDelay, meanContention = 1;
 
-    RequestClass(RequestClassSettings type, int index) {
-        this.type = type;
+    RequestClass(RequestClassSettings settings, int index) {
+        this.settings = settings;
         this.index = index;
-        this.priorWork = WORK_PRIOR * type.latencyTarget() * type.threads();
-        this.meanWork = priorWork;
-        this.errorSquare = (double) type.latencyTarget() * type.latencyTarget();
+        this.initialWork = INITIAL_WORK_SHARE * settings.latencyTarget() * settings.threads();
+        this.meanWork = initialWork;
+        this.meanSquareError = (double) settings.latencyTarget() * settings.latencyTarget();
     }
 
-    double usualDelay() {
-        return usual > 0 ? usual : type.latencyTarget() * UNHEARD_SHARE;
+    double typicalDelay() {
+        return recentDelay > 0 ? recentDelay : settings.latencyTarget() * INITIAL_DELAY_SHARE;
     }
 
-    double usualWork() {
-        return Math.max(meanWork, priorWork / 2);
+    double typicalWork() {
+        return Math.max(meanWork, initialWork / 2);
     }
 
-    double workOf(Request r) {
-        return r.work() > 0 ? estimate.expected(r.work()) : meanWork;
+    /** Returns the work to expect of a request: from its estimate, or the class mean where it has none. */
+    double expectedWork(Request request) {
+        return request.work() > 0 ? workEstimator.expectedWork(request.work()) : meanWork;
     }
 
-    double sizeOf(double work) {
-        return Math.min(SIZE_MOST, Math.max(SIZE_LEAST, work / meanWork));
+    /** Returns work as a multiple of the class mean, within bounds. */
+    double relativeSize(double work) {
+        return Math.min(MAX_SIZE, Math.max(MIN_SIZE, work / meanWork));
     }
 
-    /** The grant suffices for all but a share of queries: up with each spill, slowly down else. */
-    void learnMemory(boolean spilt) {
-        memoryRatio *= 1 + CLASS_GAIN * ((spilt ? 1 : 0) - SPILL_SHARE);
+    /** Raises the memory ratio with each spill, else lowers it slowly, until only a small share spills. */
+    void adjustMemoryRatio(boolean spilled) {
+        memoryRatio *= 1 + CLASS_SMOOTHING * ((spilled ? 1 : 0) - MAX_SPILL_SHARE);
     }
 
-    void learnWork(double work, double told) {
-        meanWork += CLASS_GAIN * (work - meanWork);
-        if (told > 0) {
-            estimate.learn(told, work);
+    /** Records the work of a served query; {@code estimate} is the client's, 0 if it gave none. */
+    void recordWork(double work, double estimate) {
+        meanWork += CLASS_SMOOTHING * (work - meanWork);
+        if (estimate > 0) {
+            workEstimator.record(estimate, work);
         }
     }
 
-    /** The paper's load ratio: predictions over minima, summed; idle engines by the ratio last seen. */
-    void survey(Iterable<EngineEstimate> hosts, long now) {
-        double sum = 0, minima = 0, crowds = 0;
-        int count = 0, heard = 0;
-        for (EngineEstimate h : hosts) {
-            Predictor p = h.predictors.get(index);
-            crowds += h.crowd(1, now);
+    /** Updates the paper's load ratio: summed predictions over summed minima; idle engines by recent ratio. */
+    void updateLoadRatio(Iterable<EngineEstimate> engines, long now) {
+        double predictions = 0, minima = 0, contentions = 0;
+        int count = 0, measured = 0;
+        for (EngineEstimate engine : engines) {
+            Predictor predictor = engine.predictors.get(index);
+            contentions += engine.contention(1, now);
             count++;
-            if (p.t > 0 && h.listed == EngineStatus.READY) {
-                sum += p.predict(now, ratio, p.crowdThen, p.crowdThen);
-                minima += p.tMin;
-                heard++;
+            if (predictor.recentDelay > 0 && engine.status == EngineStatus.READY) {
+                predictions += predictor.predict(now, recentLoadRatio, predictor.recentContention,
+                        predictor.recentContention);
+                minima += predictor.minDelay;
+                measured++;
             }
         }
-        meanCrowd = crowds / Math.max(1, count);
-        if (heard > 0) {
-            rho = Math.max(1, Math.min(RHO_MAX, sum / minima));
-            meanMin = minima / heard;
+        meanContention = contentions / Math.max(1, count);
+        if (measured > 0) {
+            loadRatio = Math.max(1, Math.min(MAX_LOAD_RATIO, predictions / minima));
+            meanMinDelay = minima / measured;
         }
     }
 }
--- a/src/main/java/cairnline/control/SlidingWindow.java
+++ b/src/main/java/cairnline/control/SlidingWindow.java
@@ -4,7 +4,7 @@
 
 /** Amounts with their times, summed over a sliding window; plain state of {@link Control}. */
 final class SlidingWindow {
-    private record Entry(long at, double amount) { }
+    private record Entry(long time, double amount) { }
 
     private final ArrayDeque<Entry> entries = new ArrayDeque<>();
     private double sum;
@@ -14,9 +14,9 @@
         sum += amount;
     }
 
-    /** The sum since then; what is older is forgotten. */
-    double since(long then) {
-        while (!entries.isEmpty() && entries.peekFirst().at < then) {
+    /** Returns the sum of all amounts from {@code start} on, and discards older ones. */
+    double sumSince(long start) {
+        while (!entries.isEmpty() && entries.peekFirst().time < start) {
             sum -= entries.pollFirst().amount;
         }
         if (entries.isEmpty()) {
--- a/src/main/java/cairnline/control/WorkEstimator.java
+++ b/src/main/java/cairnline/control/WorkEstimator.java
@@ -1,47 +1,50 @@
 package cairnline.control;
 
 /**
- * The work to expect of a query whose estimate is told, for one class; plain state of {@link Control}.
+ * Estimates the work of a query from the client's estimate, for one class; plain state of {@link Control}.
  *
- * <p>Estimates scatter about as widely as the work itself. So the larger one is, the more of it is error: a query told
- * as twelve times the usual is three times as large, and would be refused for what it does not need. This is the linear
- * regression of the logarithm of the work on that of the estimate, over recent answers.
+ * <p>Clients' estimates scatter about as widely as the work itself. So the larger an estimate is, the more of it is error:
+ * a query estimated at twelve times the usual work needs about three times the usual, and taken at face value would be
+ * refused for work that it does not need. This is the linear regression of the logarithm of the work on that of the
+ * estimate, over recent answers.
  */
 final class WorkEstimator {
-    /** Weight of the newest answer, once there are some. */
-    private static final double GAIN = 0.02;
-    /** Answers that the prior counts for: that estimates are right. */
-    private static final int PRIOR = 5;
-    /** Variances, of logarithms, before anything is known, and least that is divided by. */
-    private static final double VARIANCE = 0.5, LEAST = 1e-6;
-    /** Remaining variance that is counted at most: a tail is no usual query. */
-    private static final double REST_MOST = 1;
+    /** Weight of the newest answer, once there are enough of them. */
+    private static final double SMOOTHING = 0.02;
+    /** Number of answers that the prior counts for: that estimates are right. */
+    private static final int PRIOR_ANSWERS = 5;
+    /** Prior of the variances of the logarithms, and the least variance to divide by. */
+    private static final double PRIOR_VARIANCE = 0.5, MIN_VARIANCE = 1e-6;
+    /** Upper bound of the residual variance: a long tail is not representative. */
+    private static final double MAX_RESIDUAL_VARIANCE = 1;
 
-    private double told, work, toldSquare = VARIANCE, workSquare = VARIANCE, both = VARIANCE;
-    private int heard;
+    private double meanLogEstimate, meanLogWork;
+    private double estimateVariance = PRIOR_VARIANCE, workVariance = PRIOR_VARIANCE, covariance = PRIOR_VARIANCE;
+    private int answers;
 
-    /** An answer has told the work that a query of this estimate needed; both in the same unit, above 0. */
-    void learn(double estimate, double needed) {
-        double x = StrictMath.log(estimate), y = StrictMath.log(needed);
-        double gain = Math.max(GAIN, 1.0 / (heard + 1)), spread = Math.max(GAIN, 1.0 / (heard + 1 + PRIOR));
-        double dx = x - told, dy = y - work;
-        told += gain * dx;
-        work += gain * dy;
-        if (heard > 0) {
-            toldSquare += spread * (dx * (x - told) - toldSquare);
-            workSquare += spread * (dy * (y - work) - workSquare);
-            both += spread * (dx * (y - work) - both);
+    /** Records the work that a query with this estimate needed; both in the same unit, above 0. */
+    void record(double estimate, double work) {
+        double x = StrictMath.log(estimate), y = StrictMath.log(work);
+        double meanWeight = Math.max(SMOOTHING, 1.0 / (answers + 1));
+        double varianceWeight = Math.max(SMOOTHING, 1.0 / (answers + 1 + PRIOR_ANSWERS));
+        double dx = x - meanLogEstimate, dy = y - meanLogWork;
+        meanLogEstimate += meanWeight * dx;
+        meanLogWork += meanWeight * dy;
+        if (answers > 0) {
+            estimateVariance += varianceWeight * (dx * (x - meanLogEstimate) - estimateVariance);
+            workVariance += varianceWeight * (dy * (y - meanLogWork) - workVariance);
+            covariance += varianceWeight * (dx * (y - meanLogWork) - covariance);
         }
-        heard++;
+        answers++;
     }
 
-    /** The work to expect on average, in the estimate's unit. */
-    double expected(double estimate) {
-        if (heard == 0) {
+    /** Returns the expected work, in the unit of the estimate. */
+    double expectedWork(double estimate) {
+        if (answers == 0) {
             return estimate;
         }
-        double slope = Math.max(0, Math.min(1, both / Math.max(LEAST, toldSquare)));
-        double rest = Math.max(0, Math.min(REST_MOST, workSquare - slope * both));
-        return StrictMath.exp(work + slope * (StrictMath.log(estimate) - told) + rest / 2);
+        double slope = Math.max(0, Math.min(1, covariance / Math.max(MIN_VARIANCE, estimateVariance)));
+        double residual = Math.max(0, Math.min(MAX_RESIDUAL_VARIANCE, workVariance - slope * covariance));
+        return StrictMath.exp(meanLogWork + slope * (StrictMath.log(estimate) - meanLogEstimate) + residual / 2);
     }
 }
--- a/src/main/java/cairnline/program/Configuration.java
+++ b/src/main/java/cairnline/program/Configuration.java
@@ -213,7 +213,7 @@
         SafetyRules rules = new SafetyRules(r.drainGrace(), r.coldCapacity(), r.warmUpTime(), r.overloadMultiple(), r.overloadWindow(),
                 r.keyCooldown() + REST_SLACK_NANOS, r.retryAllowance(), r.retriesPerRequest(), r.retryWindow());
         return new Settings(s.frontIndex(), s.frontCount(), s.zone(), s.requestClasses(), s.tenants(), s.machineTypes(), s.permissions(), rules,
-                s.overShareWorth(), s.memoryGrantCap(), s.subscriptionRequired(), s.statusUpdateInterval(), s.clientsMarkRetries(), s.probeCost());
+                s.overShareWorth(), s.memoryGrantCap(), s.subscriptionRequired(), s.statusInterval(), s.clientsMarkRetries(), s.probeCost());
     }
 
     /** Nested values by their paths, as the simulator's first message words them. */
--- a/src/main/java/cairnline/simhost/ActionWriter.java
+++ b/src/main/java/cairnline/simhost/ActionWriter.java
@@ -4,18 +4,18 @@
 
 import java.util.Base64;
 
-/** Writes one instance's actions as wire lines. */
+/** Writes the actions of one instance as lines of the protocol. */
 final class ActionWriter implements Actions {
     private final StringBuilder out;
-    private final String front;
+    private final String frontField;
 
-    ActionWriter(StringBuilder out, long front) {
+    ActionWriter(StringBuilder out, long frontId) {
         this.out = out;
-        this.front = " frontId=" + front;
+        this.frontField = " frontId=" + frontId;
     }
 
     private StringBuilder line(String name) {
-        return out.append(name).append(front);
+        return out.append(name).append(frontField);
     }
 
     private StringBuilder line(String name, String id) {
@@ -74,7 +74,7 @@
         line("RECORD").append(" what=").append(text.replace('\n', ' ')).append('\n');
     }
 
-    void crash(Throwable cause) {
+    void reportCrash(Throwable cause) {
         String where = cause.getStackTrace().length > 0 ? " at " + cause.getStackTrace()[0] : "";
         line("CRASH").append(" what=").append((cause + where).replace('\n', ' ')).append('\n');
     }
--- a/src/main/java/cairnline/simhost/BatchProcessor.java
+++ b/src/main/java/cairnline/simhost/BatchProcessor.java
@@ -6,10 +6,10 @@
 import cairnline.control.ControlApi.Engine;
 import cairnline.control.ControlApi.EngineStatus;
 import cairnline.control.ControlApi.Load;
-import cairnline.control.ControlApi.StatusUpdate;
-import cairnline.control.ControlApi.StatusKind;
 import cairnline.control.ControlApi.Outcome;
 import cairnline.control.ControlApi.Request;
+import cairnline.control.ControlApi.StatusKind;
+import cairnline.control.ControlApi.StatusUpdate;
 
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -19,33 +19,33 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads batches of events, hands them to the instances they name and collects their actions. */
+/** Reads batches of events, delivers them to the decision modules they name and collects the modules' actions. */
 final class BatchProcessor {
-    private static final long NS_PER_MS = 1_000_000;
-    private static final int COST_BASE = 4096;
-    private static final int MB_PER_COST_UNIT = 4;
-    private static final int KEPT_LISTS = 16;
+    private static final long NANOS_PER_MILLI = 1_000_000;
+    private static final int COST_FIELD_BASE = 4096;
+    private static final int MEGABYTES_PER_COST_UNIT = 4;
+    private static final int MAX_INVENTORIES = 16;
 
-    private record Instance(ControlApi control, ActionWriter replies) { }
+    private record Instance(ControlApi control, ActionWriter actions) { }
 
     private final Map<Long, Instance> instances = new HashMap<>();
-    private final List<List<Engine>> lists = new ArrayList<>();
+    private final List<List<Engine>> inventories = new ArrayList<>();
     private final Fields in = new Fields();
 
     BatchProcessor() {
-        for (int i = 0; i < KEPT_LISTS; i++) {
-            lists.add(null);
+        for (int i = 0; i < MAX_INVENTORIES; i++) {
+            inventories.add(null);
         }
     }
 
-    /** Handles one batch; false at the end of input. */
-    boolean batch(BufferedReader reader, StringBuilder reply) throws IOException {
+    /** Processes one batch and appends the reply; returns false at the end of input. */
+    boolean processBatch(BufferedReader reader, StringBuilder reply) throws IOException {
         String line = reader.readLine();
         if (line == null) {
             return false;
         }
         if (!in.read(line).equals("TURN")) {
-            throw new WireException("a batch starts with TURN", line);
+            throw new WireException("a batch must start with TURN", line);
         }
         long now = in.integer("atTimeNs");
         while (true) {
@@ -57,37 +57,37 @@
             if (name.equals("GO")) {
                 break;
             }
-            event(name, line, now, reader, reply);
+            handleEvent(name, line, now, reader, reply);
         }
         reply.append("OK\n");
         return true;
     }
 
-    private void event(String name, String line, long now, BufferedReader reader, StringBuilder reply)
+    private void handleEvent(String name, String line, long now, BufferedReader reader, StringBuilder reply)
             throws IOException {
         switch (name) {
-            case "INVENTORY" -> inventory(line, reader);
-            case "HELLO" -> hello(now, line, reply);
+            case "INVENTORY" -> readInventory(line, reader);
+            case "HELLO" -> startInstance(now, line, reply);
             case "EXIT" -> {
-                instance(line);
+                instanceOf(line);
                 instances.remove(in.integer("frontId"));
             }
             default -> dispatch(name, line, now);
         }
     }
 
-    private void hello(long now, String line, StringBuilder reply) {
+    private void startInstance(long now, String line, StringBuilder reply) {
         long front = in.integer("frontId");
-        ActionWriter replies = new ActionWriter(reply, front);
+        ActionWriter actions = new ActionWriter(reply, front);
         try {
-            ControlApi control = new Control(new SettingsReader(in).read(), in.integer("randomSeed", 0), now, replies);
-            instances.put(front, new Instance(control, replies));
+            ControlApi control = new Control(new SettingsReader(in).read(), in.integer("randomSeed", 0), now, actions);
+            instances.put(front, new Instance(control, actions));
         } catch (IllegalArgumentException e) {
             throw new WireException(e.getMessage(), line);
         }
     }
 
-    private Instance instance(String line) {
+    private Instance instanceOf(String line) {
         Instance instance = instances.get(in.integer("frontId"));
         if (instance == null) {
             throw new WireException("unknown front", line);
@@ -99,32 +99,33 @@
         if (!in.has("frontId")) {
             throw new WireException("field frontId is missing", line);
         }
-        Instance instance = instance(line);
+        Instance instance = instanceOf(line);
         try {
             deliver(instance.control(), name, line, now);
         } catch (WireException e) {
             throw e;
         } catch (RuntimeException e) {
-            instance.replies().crash(e);
+            instance.actions().reportCrash(e);
         }
     }
 
     private void deliver(ControlApi control, String name, String line, long now) {
         switch (name) {
-            case "REGISTRY" -> registry(control, line, now);
-            case "NEW_REQUEST" -> control.onRequest(now, request());
+            case "REGISTRY" -> deliverEngineList(control, line, now);
+            case "NEW_REQUEST" -> control.onRequest(now, readRequest());
             case "STREAMING" -> control.onStreaming(now, in.text("msgId"), (int) in.integer("attempt", 0));
-            case "RETURNED" -> control.onOutcome(now, outcome(line));
-            case "STATUS_NOTE" -> note(control, line, now);
+            case "RETURNED" -> control.onOutcome(now, readOutcome(line));
+            case "STATUS_NOTE" -> deliverStatusUpdate(control, line, now);
             case "ABANDONED" -> control.onAbandoned(now, in.text("msgId"));
             case "TIMER" -> control.onTimer(now, in.integer("handle"));
-            case "ECHO" -> control.onProbeResult(now, in.text("engine"), end(line) == AttemptStatus.OK, in.integer("rttNs", 0), load(line));
-            case "PEER" -> control.onPeerMessage(now, (int) in.integer("sender"), bytes(line));
+            case "ECHO" -> control.onProbeResult(now, in.text("engine"), readAttemptStatus(line) == AttemptStatus.OK,
+                    in.integer("rttNs", 0), readLoad(line));
+            case "PEER" -> control.onPeerMessage(now, (int) in.integer("sender"), readContents(line));
             default -> throw new WireException("unknown event " + name, line);
         }
     }
 
-    private byte[] bytes(String line) {
+    private byte[] readContents(String line) {
         String text = in.text("contents", "-");
         try {
             return text.equals("-") ? new byte[0] : Base64.getDecoder().decode(text);
@@ -133,22 +134,22 @@
         }
     }
 
-    private void inventory(String line, BufferedReader reader) throws IOException {
-        int sheet = sheet(line);
+    private void readInventory(String line, BufferedReader reader) throws IOException {
+        int number = readInventoryNumber(line);
         long rows = in.integer("rows");
         List<Engine> entries = new ArrayList<>();
         for (long i = 0; i < rows; i++) {
             String row = reader.readLine();
             if (row == null || !in.read(row).equals("ENTRY")) {
-                throw new WireException("an INVENTORY holds fewer entries than it says", line);
+                throw new WireException("INVENTORY has fewer entries than its rows field announces", line);
             }
-            entries.add(new Engine(in.text("engine"), listed(row), in.text("locality", ""), in.text("flavor", ""),
+            entries.add(new Engine(in.text("engine"), readEngineStatus(row), in.text("locality", ""), in.text("flavor", ""),
                     (int) in.integer("cluster", 0), in.number("nominal", 1), in.integer("cameUpNs", 0)));
         }
-        lists.set(sheet, entries);
+        inventories.set(number, entries);
     }
 
-    private EngineStatus listed(String line) {
+    private EngineStatus readEngineStatus(String line) {
         return switch ((int) in.integer("status", 1)) {
             case 1 -> EngineStatus.READY;
             case 2 -> EngineStatus.DRAINING;
@@ -157,15 +158,15 @@
         };
     }
 
-    private int sheet(String line) {
-        long sheet = in.integer("sheet");
-        if (sheet < 0 || sheet >= KEPT_LISTS) {
-            throw new WireException("an INVENTORY number lies outside 0 to 15", line);
+    private int readInventoryNumber(String line) {
+        long number = in.integer("sheet");
+        if (number < 0 || number >= MAX_INVENTORIES) {
+            throw new WireException("the number of an INVENTORY is not between 0 and 15", line);
         }
-        return (int) sheet;
+        return (int) number;
     }
 
-    private void registry(ControlApi control, String line, long now) {
+    private void deliverEngineList(ControlApi control, String line, long now) {
         long kind = in.integer("kind");
         if (kind == 0) {
             control.onDiscoveryUnreachable(now);
@@ -174,28 +175,28 @@
         if (kind < 2 || kind > 4) {
             throw new WireException("unknown kind of REGISTRY", line);
         }
-        List<Engine> entries = lists.get(sheet(line));
+        List<Engine> entries = inventories.get(readInventoryNumber(line));
         if (entries == null) {
-            throw new WireException("no INVENTORY bears this number", line);
+            throw new WireException("no INVENTORY with this number", line);
         }
         control.onEngineList(now, kind != 2, entries);
     }
 
-    private Request request() {
-        long bits = in.integer("stateBits", 0);
+    private Request readRequest() {
+        long flags = in.integer("stateBits", 0);
         return new Request(in.text("msgId"), in.text("type"), in.text("customer", ""), in.has("object"),
-                in.integer("object", 0), in.integer("budgetNs"), (bits & 1) != 0 ? in.integer("planCostNs", 0) : 0,
-                in.number("needMb", 0), (int) in.number("tableGroup", -1), (bits & 2) != 0);
+                in.integer("object", 0), in.integer("budgetNs"), (flags & 1) != 0 ? in.integer("planCostNs", 0) : 0,
+                in.number("needMb", 0), (int) in.number("tableGroup", -1), (flags & 2) != 0);
     }
 
-    private Outcome outcome(String line) {
+    private Outcome readOutcome(String line) {
         long cost = in.integer("trueCost", 0);
-        return new Outcome(in.text("msgId"), (int) in.integer("attempt", 0), in.text("engine"), end(line),
-                in.integer("rttNs", 0), in.flag("last", false), cost / COST_BASE * NS_PER_MS,
-                cost % COST_BASE * MB_PER_COST_UNIT, load(line));
+        return new Outcome(in.text("msgId"), (int) in.integer("attempt", 0), in.text("engine"), readAttemptStatus(line),
+                in.integer("rttNs", 0), in.flag("last", false), cost / COST_FIELD_BASE * NANOS_PER_MILLI,
+                cost % COST_FIELD_BASE * MEGABYTES_PER_COST_UNIT, readLoad(line));
     }
 
-    private AttemptStatus end(String line) {
+    private AttemptStatus readAttemptStatus(String line) {
         return switch ((int) in.integer("how")) {
             case 10 -> AttemptStatus.OK;
             case 20 -> AttemptStatus.ERROR;
@@ -209,7 +210,7 @@
         };
     }
 
-    private void note(ControlApi control, String line, long now) {
+    private void deliverStatusUpdate(ControlApi control, String line, long now) {
         double amount = in.number("amount", 0);
         StatusKind kind = switch ((int) in.integer("kind")) {
             case 1 -> StatusKind.PROGRESS;
@@ -218,34 +219,35 @@
             default -> null;
         };
         if (kind != null) {
-            control.onStatusUpdate(now, new StatusUpdate(in.text("msgId"), (int) in.integer("attempt", 0), in.text("engine"), kind, amount));
+            control.onStatusUpdate(now, new StatusUpdate(in.text("msgId"), (int) in.integer("attempt", 0),
+                    in.text("engine"), kind, amount));
         }
     }
 
-    private Load load(String line) {
+    private Load readLoad(String line) {
         String text = in.text("healthInfo", "");
         if (text.isEmpty() || text.equals("-")) {
             return Load.NONE;
         }
-        double[] v = {Double.NaN, Double.NaN, Double.NaN, Double.NaN, Double.NaN};
+        double[] values = {Double.NaN, Double.NaN, Double.NaN, Double.NaN, Double.NaN};
         int start = 0;
         while (start < text.length()) {
             int comma = text.indexOf(',', start);
             int stop = comma < 0 ? text.length() : comma;
             int colon = text.indexOf(':', start);
             if (colon < 0 || colon > stop) {
-                throw new WireException("a load report holds no value", line);
+                throw new WireException("an entry of the load report has no value", line);
             }
-            int column = column(text.substring(start, colon));
+            int column = columnOf(text.substring(start, colon));
             if (column >= 0) {
-                v[column] = value(text.substring(colon + 1, stop), line);
+                values[column] = parseValue(text.substring(colon + 1, stop), line);
             }
             start = stop + 1;
         }
-        return new Load(v[0], v[1], v[2], v[3], v[4]);
+        return new Load(values[0], values[1], values[2], values[3], values[4]);
     }
 
-    private static double value(String text, String line) {
+    private static double parseValue(String text, String line) {
         try {
             return Double.parseDouble(text);
         } catch (NumberFormatException e) {
@@ -253,7 +255,7 @@
         }
     }
 
-    private static int column(String name) {
+    private static int columnOf(String name) {
         return switch (name) {
             case "utilization" -> 0;
             case "backlog" -> 1;
--- a/src/main/java/cairnline/simhost/Fields.java
+++ b/src/main/java/cairnline/simhost/Fields.java
@@ -3,12 +3,12 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The name=value parts of one wire line; used anew for each line, or a configuration's values. */
+/** The name=value fields of one wire line, reused from line to line, or the values of a configuration. */
 public final class Fields {
     private final Map<String, String> values = new HashMap<>();
     private String line = "";
 
-    /** The values of a configuration, by their paths. */
+    /** Returns the values of a configuration, keyed by their paths. */
     public static Fields of(Map<String, String> values) {
         Fields fields = new Fields();
         fields.values.putAll(values);
@@ -16,7 +16,7 @@
         return fields;
     }
 
-    /** Splits a line and returns its first part. */
+    /** Replaces the fields by those of a line and returns the line's first word. */
     public String read(String text) {
         line = text;
         values.clear();
@@ -42,8 +42,8 @@
         return value;
     }
 
-    String text(String name, String absent) {
-        return values.getOrDefault(name, absent);
+    String text(String name, String defaultValue) {
+        return values.getOrDefault(name, defaultValue);
     }
 
     boolean has(String name) {
@@ -54,16 +54,16 @@
         return parse(name, text(name));
     }
 
-    /** A whole number, or what stands for its absence. */
-    public long integer(String name, long absent) {
+    /** Returns the integer value of a field, or {@code defaultValue} if the field is absent. */
+    public long integer(String name, long defaultValue) {
         String value = values.get(name);
-        return value == null ? absent : parse(name, value);
+        return value == null ? defaultValue : parse(name, value);
     }
 
-    double number(String name, double absent) {
+    double number(String name, double defaultValue) {
         String value = values.get(name);
         if (value == null) {
-            return absent;
+            return defaultValue;
         }
         try {
             return Double.parseDouble(value);
@@ -72,16 +72,16 @@
         }
     }
 
-    boolean flag(String name, boolean absent) {
+    boolean flag(String name, boolean defaultValue) {
         String value = values.get(name);
-        return value == null ? absent : value.equals("1") || value.equals("true");
+        return value == null ? defaultValue : value.equals("1") || value.equals("true");
     }
 
     private long parse(String name, String value) {
         try {
             return Long.parseLong(value);
         } catch (NumberFormatException e) {
-            throw new WireException("field " + name + " is not a whole number: " + value, line);
+            throw new WireException("field " + name + " is not an integer: " + value, line);
         }
     }
 }
--- a/src/main/java/cairnline/simhost/SettingsReader.java
+++ b/src/main/java/cairnline/simhost/SettingsReader.java
@@ -1,54 +1,55 @@
 package cairnline.simhost;
 
-import cairnline.control.ControlApi.RetrySafety;
+import cairnline.control.ControlApi.DeduplicationScope;
 import cairnline.control.ControlApi.MachineType;
 import cairnline.control.ControlApi.Permissions;
+import cairnline.control.ControlApi.RequestClassSettings;
+import cairnline.control.ControlApi.RetrySafety;
 import cairnline.control.ControlApi.SafetyRules;
-import cairnline.control.ControlApi.DeduplicationScope;
 import cairnline.control.ControlApi.Settings;
 import cairnline.control.ControlApi.Tenant;
-import cairnline.control.ControlApi.RequestClassSettings;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 
-/** Translates the wire's settings into the module's terms; a key that is absent gets its neutral meaning. */
+/** Translates settings from the line protocol into {@link Settings}; an absent key gets its neutral default. */
 public final class SettingsReader {
     private final Fields in;
 
-    /** Reads from these values. */
+    /** Creates a reader of these values. */
     public SettingsReader(Fields in) {
         this.in = in;
     }
 
-    /** All that the module is told at start. */
+    /** Returns the settings that a decision module gets at start. */
     public Settings read() {
         return new Settings((int) in.integer("selfIndex", 0), (int) in.integer("groupSize", 1), in.text("locality", ""),
-                requestClasses(), tenants(), kinds(), permissions(), rules(), in.number("overShareWorth", 1),
+                requestClasses(), tenants(), machineTypes(), permissions(), safetyRules(), in.number("overShareWorth", 1),
                 in.number("specifics.grantCap", 1), in.text("discovery", "push").equals("ask"),
                 in.integer("specifics.notePeriodNs", 0), in.flag("clientHabits.marksRetry", false),
                 in.number("deductions.probe", 0));
     }
 
     private List<RequestClassSettings> requestClasses() {
-        List<RequestClassSettings> types = new ArrayList<>();
+        List<RequestClassSettings> requestClasses = new ArrayList<>();
         int count = (int) in.integer("profiles.count", 0);
         for (int i = 0; i < count; i++) {
-            String p = "profiles." + i + ".";
-            long deadline = in.integer(p + "deadlineNs");
-            types.add(new RequestClassSettings(in.text(p + "name"), in.integer(p + "aimNs", deadline), in.number(p + "aimStretch", 0),
-                    deadline, in.number(p + "worth", 1), in.number(p + "lateWorth", 0), effect(p), scope(p),
-                    in.integer(p + "windowNs", 0), in.flag(p + "serialByKey", false),
-                    Math.max(1, (int) perClass("specifics.threadsByClass", i, 1)),
-                    perClass("specifics.classLoad", i, 0) > 0, perClass("specifics.blockedByLoads", i, 0) > 0,
-                    list(p + "areasOnly"), list(p + "shapesAllowed")));
+            String prefix = "profiles." + i + ".";
+            long deadline = in.integer(prefix + "deadlineNs");
+            requestClasses.add(new RequestClassSettings(in.text(prefix + "name"),
+                    in.integer(prefix + "aimNs", deadline), in.number(prefix + "aimStretch", 0), deadline,
+                    in.number(prefix + "worth", 1), in.number(prefix + "lateWorth", 0), retrySafety(prefix),
+                    keyScope(prefix), in.integer(prefix + "windowNs", 0), in.flag(prefix + "serialByKey", false),
+                    Math.max(1, (int) listElement("specifics.threadsByClass", i, 1)),
+                    listElement("specifics.classLoad", i, 0) > 0, listElement("specifics.blockedByLoads", i, 0) > 0,
+                    list(prefix + "areasOnly"), list(prefix + "shapesAllowed")));
         }
-        return types;
+        return requestClasses;
     }
 
-    private RetrySafety effect(String prefix) {
+    private RetrySafety retrySafety(String prefix) {
         return switch (in.text(prefix + "semantics", "pure")) {
             case "pure" -> RetrySafety.SAFE;
             case "token" -> RetrySafety.KEYED;
@@ -57,7 +58,7 @@
         };
     }
 
-    private DeduplicationScope scope(String prefix) {
+    private DeduplicationScope keyScope(String prefix) {
         return switch (in.text(prefix + "keyScope", "cell")) {
             case "all" -> DeduplicationScope.ALL;
             case "zone" -> DeduplicationScope.ZONE;
@@ -70,43 +71,44 @@
         List<Tenant> tenants = new ArrayList<>();
         int count = (int) in.integer("parties.count", 0);
         for (int i = 0; i < count; i++) {
-            String p = "parties." + i + ".";
-            tenants.add(new Tenant(in.text(p + "name"), in.number(p + "share", 0), in.number(p + "quotaPerS", 0)));
+            String prefix = "parties." + i + ".";
+            tenants.add(new Tenant(in.text(prefix + "name"), in.number(prefix + "share", 0), in.number(prefix + "quotaPerS", 0)));
         }
         return tenants;
     }
 
-    private Map<String, MachineType> kinds() {
-        Map<String, MachineType> kinds = new LinkedHashMap<>();
+    private Map<String, MachineType> machineTypes() {
+        Map<String, MachineType> machineTypes = new LinkedHashMap<>();
         List<String> names = list("shapes");
         for (int i = 0; i < names.size(); i++) {
-            kinds.put(names.get(i), new MachineType((int) perClass("specifics.coresByKind", i, 1),
-                    perClass("specifics.sizeMb", i, 0)));
+            machineTypes.put(names.get(i), new MachineType((int) listElement("specifics.coresByKind", i, 1),
+                    listElement("specifics.sizeMb", i, 0)));
         }
-        return kinds;
+        return machineTypes;
     }
 
     private Permissions permissions() {
-        String p = "permissions.";
-        return new Permissions((int) in.integer(p + "tryLimit", 1), in.flag(p + "mayCancel", false),
-                in.flag(p + "secondCopies", false), in.flag(p + "probes", false), in.flag(p + "peers", false),
-                in.flag(p + "retryAfter", false), in.integer(p + "maxRetryAfterNs", 0),
+        String prefix = "permissions.";
+        return new Permissions((int) in.integer(prefix + "tryLimit", 1), in.flag(prefix + "mayCancel", false),
+                in.flag(prefix + "secondCopies", false), in.flag(prefix + "probes", false), in.flag(prefix + "peers", false),
+                in.flag(prefix + "retryAfter", false), in.integer(prefix + "maxRetryAfterNs", 0),
                 in.flag("specifics.memoryHeeded", false), in.flag("specifics.takesPriority", false));
     }
 
-    private SafetyRules rules() {
-        String p = "safety.";
-        boolean rationed = in.has(p + "spareAttempts") || in.has(p + "extraPerRequest");
-        return new SafetyRules(in.integer(p + "drainGraceNs", 0), in.number(p + "coldFrom", 1), in.integer(p + "warmWithinNs", 0),
-                in.number(p + "tipMultiple", 1), in.integer(p + "overloadForNs", 0),
-                in.integer(p + "settleAfterDoubtNs", 0), rationed ? in.number(p + "spareAttempts", 0) : -1,
-                in.number(p + "extraPerRequest", 0), in.integer(p + "lookBackNs", 0));
+    private SafetyRules safetyRules() {
+        String prefix = "safety.";
+        boolean retryBudgetSet = in.has(prefix + "spareAttempts") || in.has(prefix + "extraPerRequest");
+        return new SafetyRules(in.integer(prefix + "drainGraceNs", 0), in.number(prefix + "coldFrom", 1),
+                in.integer(prefix + "warmWithinNs", 0), in.number(prefix + "tipMultiple", 1),
+                in.integer(prefix + "overloadForNs", 0), in.integer(prefix + "settleAfterDoubtNs", 0),
+                retryBudgetSet ? in.number(prefix + "spareAttempts", 0) : -1,
+                in.number(prefix + "extraPerRequest", 0), in.integer(prefix + "lookBackNs", 0));
     }
 
-    private double perClass(String name, int index, double absent) {
+    private double listElement(String name, int index, double defaultValue) {
         List<String> values = list(name);
         if (index >= values.size()) {
-            return absent;
+            return defaultValue;
         }
         String value = values.get(index);
         if (value.equals("true") || value.equals("false")) {
@@ -115,7 +117,7 @@
         try {
             return Double.parseDouble(value);
         } catch (NumberFormatException e) {
-            throw new WireException("setting " + name + " holds no number: " + value, "HELLO");
+            throw new WireException("setting " + name + " is not a number: " + value, "HELLO");
         }
     }
 
--- a/src/main/java/cairnline/simhost/SimHost.java
+++ b/src/main/java/cairnline/simhost/SimHost.java
@@ -5,17 +5,17 @@
 import java.io.OutputStream;
 import java.nio.charset.StandardCharsets;
 
-/** Serves the simulator's wire: one reply for each batch until the input ends. */
+/** Serves the decision module to the simulator over its line protocol. */
 public final class SimHost {
-    private static final int BUFFER = 1 << 16;
+    private static final int REPLY_BUFFER_CHARS = 1 << 16;
 
     private SimHost() { }
 
-    /** Answers batches until the input ends. */
+    /** Answers each batch of events with one reply, until the input ends. */
     public static void serve(BufferedReader in, OutputStream out) throws IOException {
-        BatchProcessor host = new BatchProcessor();
-        StringBuilder reply = new StringBuilder(BUFFER);
-        while (host.batch(in, reply)) {
+        BatchProcessor processor = new BatchProcessor();
+        StringBuilder reply = new StringBuilder(REPLY_BUFFER_CHARS);
+        while (processor.processBatch(in, reply)) {
             out.write(reply.toString().getBytes(StandardCharsets.UTF_8));
             out.flush();
             reply.setLength(0);
--- a/src/main/java/cairnline/simhost/WireException.java
+++ b/src/main/java/cairnline/simhost/WireException.java
@@ -1,11 +1,11 @@
 package cairnline.simhost;
 
-/** Input that does not follow the wire. */
+/** Signals input that violates the line protocol; the message quotes the start of the offending line. */
 public final class WireException extends RuntimeException {
     private static final long serialVersionUID = 1L;
-    private static final int SHOWN = 200;
+    private static final int MAX_LINE_CHARS = 200;
 
     WireException(String problem, String line) {
-        super(problem + " in line: " + (line.length() > SHOWN ? line.substring(0, SHOWN) + "..." : line));
+        super(problem + " in line: " + (line.length() > MAX_LINE_CHARS ? line.substring(0, MAX_LINE_CHARS) + "..." : line));
     }
 }
--- a/src/test/java/cairnline/control/EmbeddingTest.java
+++ b/src/test/java/cairnline/control/EmbeddingTest.java
@@ -11,11 +11,11 @@
     @Test
     void aFrontOfAFewLines() {
         ScriptedFront front = new ScriptedFront(new TestSettings());
-        front.list("engine-1");
-        front.take("query-1", "small");
-        assertEquals(List.of("send query-1 engine-1"), front.fresh());
-        front.pass(80 * ScriptedFront.MS);
-        front.end("query-1", 0, "engine-1", ControlApi.AttemptStatus.OK, 80 * ScriptedFront.MS);
-        assertEquals(List.of(), front.fresh());
+        front.listEngines("engine-1");
+        front.request("query-1", "small");
+        assertEquals(List.of("send query-1 engine-1"), front.newActions());
+        front.advance(80 * ScriptedFront.MILLI_NANOS);
+        front.finish("query-1", 0, "engine-1", ControlApi.AttemptStatus.OK, 80 * ScriptedFront.MILLI_NANOS);
+        assertEquals(List.of(), front.newActions());
     }
 }
--- a/src/test/java/cairnline/control/FleetTrustTest.java
+++ b/src/test/java/cairnline/control/FleetLoadTest.java
@@ -5,15 +5,15 @@
 import org.junit.jupiter.api.Test;
 
 /** What a front of a hundred believes of the others, from the few reports that it pays for. */
-class FleetTrustTest {
-    private static final long SECOND = 1_000_000_000L;
+class FleetLoadTest {
+    private static final long SECOND_NANOS = 1_000_000_000L;
     private static final double MARK = 2.2;
     private static final int CORES = 16;
 
     /** A fleet of a hundred fronts with 40 engines ready, this front having nothing out. */
     private static FleetLoad ofHundred() {
         FleetLoad fleet = new FleetLoad(100);
-        fleet.count(40 * CORES, 0, 0);
+        fleet.addCounts(40 * CORES, 0, 0);
         return fleet;
     }
 
@@ -22,9 +22,9 @@
     void aFewReportsOfFullEnginesSayThatTheFleetIsFull() {
         FleetLoad fleet = ofHundred();
         for (long half = 1; half <= 4; half++) {
-            fleet.hear(0, 48, CORES, half * SECOND / 2);
+            fleet.recordReport(0, 48, CORES, half * SECOND_NANOS / 2);
         }
-        assertEquals(2.4, fleet.others(MARK, 2 * SECOND), 0.1);
+        assertEquals(2.4, fleet.otherThreadsPerCore(MARK, 2 * SECOND_NANOS), 0.1);
     }
 
     /** Engines that filled up since: within seconds, not tens of seconds. */
@@ -32,11 +32,11 @@
     void rareReportsFollowAFleetThatFillsUp() {
         FleetLoad fleet = ofHundred();
         for (long half = 1; half <= 20; half++) {
-            fleet.hear(0, 8, CORES, half * SECOND / 2);
+            fleet.recordReport(0, 8, CORES, half * SECOND_NANOS / 2);
         }
         for (long half = 21; half <= 32; half++) {
-            fleet.hear(0, 48, CORES, half * SECOND / 2);
+            fleet.recordReport(0, 48, CORES, half * SECOND_NANOS / 2);
         }
-        assertEquals(3.0, fleet.others(MARK, 16 * SECOND), 0.5);
+        assertEquals(3.0, fleet.otherThreadsPerCore(MARK, 16 * SECOND_NANOS), 0.5);
     }
 }
--- a/src/test/java/cairnline/control/PlacementTest.java
+++ b/src/test/java/cairnline/control/PlacementTest.java
@@ -1,6 +1,6 @@
 package cairnline.control;
 
-import static cairnline.control.ScriptedFront.SECOND;
+import static cairnline.control.ScriptedFront.SECOND_NANOS;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -61,21 +61,21 @@
     }
 
     /** A front that has all engines listed. */
-    private static ScriptedFront front(TestSettings site, int seed) {
-        ScriptedFront s = new ScriptedFront(site, 100 * SECOND, seed);
+    private static ScriptedFront front(TestSettings settings, int seed) {
+        ScriptedFront s = new ScriptedFront(settings, 100 * SECOND_NANOS, seed);
         s.control.onEngineList(s.now, true,
                 ids(ENGINES).stream().map(id -> ScriptedFront.engine(id, EngineStatus.READY, "large", 0)).toList());
         return s;
     }
 
     /** Engines that get a group's requests of this class from all fronts, each of which sends this many. */
-    private static Set<String> used(TestSettings site, String type, int each) {
-        site.fronts = FRONTS;
+    private static Set<String> used(TestSettings settings, String type, int each) {
+        settings.fronts = FRONTS;
         Set<String> used = new HashSet<>();
         for (int f = 0; f < FRONTS; f++) {
-            ScriptedFront s = front(site, 70 + f);
+            ScriptedFront s = front(settings, 70 + f);
             for (int i = 0; i < each; i++) {
-                s.control.onRequest(s.now, new Request("q" + i, type, "one", false, 0, 3 * SECOND, 0, 0, 5, false));
+                s.control.onRequest(s.now, new Request("q" + i, type, "one", false, 0, 3 * SECOND_NANOS, 0, 0, 5, false));
                 used.add(s.engineOf("q" + i));
             }
         }
@@ -91,9 +91,9 @@
 
     @Test
     void aGroupsLoadsKeepAwayFromItsQueriesAndFromEachOther() {
-        TestSettings site = new TestSettings();
-        site.bigHolds = true;
-        Set<String> used = used(site, "big", 2);
+        TestSettings settings = new TestSettings();
+        settings.bigLocksTables = true;
+        Set<String> used = used(settings, "big", 2);
         assertTrue(used.size() >= 14, "engines with its loads: " + used.size());
         long met = firstThree(ids(ENGINES), 5).stream().filter(used::contains).count();
         assertTrue(met <= 1, "of its first three so many have a load: " + met);
@@ -102,13 +102,13 @@
     /** A hot group must not jam its engines while others have room. */
     @Test
     void aHotGroupSpillsToTheNextEngines() {
-        TestSettings site = new TestSettings();
-        site.fronts = FRONTS;
-        ScriptedFront s = front(site, 3);
+        TestSettings settings = new TestSettings();
+        settings.fronts = FRONTS;
+        ScriptedFront s = front(settings, 3);
         Map<String, Integer> sent = new HashMap<>();
         for (int i = 0; i < 120; i++) {
-            s.control.onRequest(s.now, new Request("q" + i, "small", "one", false, 0, 3 * SECOND, 0, 0, 5, false));
-            if (s.count("send q" + i + " ") > 0) {
+            s.control.onRequest(s.now, new Request("q" + i, "small", "one", false, 0, 3 * SECOND_NANOS, 0, 0, 5, false));
+            if (s.countActions("send q" + i + " ") > 0) {
                 sent.merge(s.engineOf("q" + i), 1, Integer::sum);
             }
         }
@@ -118,12 +118,12 @@
     /** A hundred fronts, none of which hears enough to see it, once sent all queries of a hot group to one engine. */
     @Test
     void aHundredFrontsSpreadAHotGroup() {
-        TestSettings site = new TestSettings();
-        site.fronts = 100;
+        TestSettings settings = new TestSettings();
+        settings.fronts = 100;
         Map<String, Integer> sent = new HashMap<>();
-        for (int f = 0; f < site.fronts; f++) {
-            ScriptedFront s = front(site, 500 + f);
-            s.control.onRequest(s.now, new Request("q", "small", "one", false, 0, 3 * SECOND, 0, 0, 5, false));
+        for (int f = 0; f < settings.fronts; f++) {
+            ScriptedFront s = front(settings, 500 + f);
+            s.control.onRequest(s.now, new Request("q", "small", "one", false, 0, 3 * SECOND_NANOS, 0, 0, 5, false));
             sent.merge(s.engineOf("q"), 1, Integer::sum);
         }
         assertTrue(Collections.max(sent.values()) <= 25, "queries by engine: " + sent);
--- a/src/test/java/cairnline/simhost/AdapterTest.java
+++ b/src/test/java/cairnline/simhost/SimHostTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Exchanges with the adapter from text to text. */
-class AdapterTest {
+class SimHostTest {
     private static final String HELLO = "HELLO frontId=3 randomSeed=5 profiles.count=1 profiles.0.name=lookup "
             + "profiles.0.aimNs=600000000 profiles.0.deadlineNs=3000000000 profiles.0.worth=1.0 "
             + "profiles.0.semantics=pure permissions.tryLimit=3 shapes=std specifics.coresByKind=8 groupSize=1 "
