--- a/src/main/java/cairnline/control/Control.java
+++ b/src/main/java/cairnline/control/Control.java
@@ -639,7 +639,7 @@
     }
 
     /** The limit falls while light queries stay slow despite their priority on busy cores: engines are then
-     * past the load up to which throughput grows. Could harm if another cause slows them; hence the minimum. */
+     * past the load up to which throughput grows. Could harm if another cause slows them, hence MIN_LIMIT. */
     private void adjustConcurrencyLimit(RequestClass requestClass) {
         if (isLight(requestClass)) {
             double step = LIMIT_STEP_PER_SECOND * Math.min(1, (double) (now - limitUpdatedAt) / SECOND_NANOS);
--- a/src/main/java/cairnline/control/ControlApi.java
+++ b/src/main/java/cairnline/control/ControlApi.java
@@ -21,7 +21,7 @@
     /** Reports that discovery could not be reached; the last list stays in force. */
     void onDiscoveryUnreachable(long now);
 
-    /** Accepts a client request; the module owes it exactly one final answer from here on. */
+    /** Accepts a client request; the module gives it exactly one final answer. */
     void onRequest(long now, Request request);
 
     /** Reports that the response of an attempt has started to stream; ignored, since the outcome reports its end. */
@@ -33,7 +33,7 @@
     /** Reports the status of an attempt in flight. */
     void onStatusUpdate(long now, StatusUpdate update);
 
-    /** Reports that the client has left; no answer is owed any more. */
+    /** Reports that the client has left; no final answer is needed any more. */
     void onAbandoned(long now, String id);
 
     /** Reports the expiry of a timer set with {@link Actions#setTimer}. */
@@ -175,8 +175,8 @@
      * one query gets; {@code overShareWorth} is the part of its worth that a request beyond its tenant's share keeps;
      * {@code subscriptionRequired} is true where the engine list must be subscribed to; {@code statusInterval} is
      * the time between status updates on an attempt, 0 if there are none; {@code clientsMarkRetries} is true where
-     * clients mark the requests that they repeat; {@code probeCost} is the cost of one probe per request, as a part
-     * of the requested worth.
+     * clients mark the requests that they repeat; {@code probeCost} is the cost of one probe for each request, as
+     * a part of the worth of the requests.
      */
     record Settings(int frontIndex, int frontCount, String zone, List<RequestClassSettings> requestClasses,
                     List<Tenant> tenants, Map<String, MachineType> machineTypes, Permissions permissions,
--- a/src/main/java/cairnline/control/Placement.java
+++ b/src/main/java/cairnline/control/Placement.java
@@ -56,8 +56,8 @@
 
     /**
      * Returns the index, from {@code from} on, of the first in the group's order among a few engines drawn at random,
-     * {@code drawn} being one of them. When each of very many fronts hears of an engine only once in tens of seconds, it
-     * can't see that the engine is full: if all fronts preferred the same engine, that engine would get all queries of a
+     * {@code drawn} being one of them. When each of very many fronts gets a report on an engine only once in tens of seconds,
+     * it can't see that the engine is full: if all fronts preferred the same engine, that engine would get all queries of a
      * hot group. With the draw, none of N engines gets more than DRAWN_ENGINES / N of a group, and all groups together
      * spread evenly.
      */
--- a/src/main/java/cairnline/control/ProbeBudget.java
+++ b/src/main/java/cairnline/control/ProbeBudget.java
@@ -12,7 +12,7 @@
  * of the same idle engine at the same moment would all send there.
  */
 final class ProbeBudget {
-    /** Part of the requested worth that all probes together may cost, at the configured cost of a probe. */
+    /** Part of the worth of all requests that all probes together may cost, at the configured cost of a probe. */
     private static final double MAX_WORTH_SHARE = 0.03;
     /** Shortest and longest interval for a reachable engine. */
     private static final long MIN_INTERVAL_NANOS = 1_000_000_000L, MAX_INTERVAL_NANOS = 30_000_000_000L;
@@ -31,7 +31,7 @@
     private final SlidingWindow requests = new SlidingWindow();
     private final long startedAt;
 
-    /** {@code cost} is the part of the requested worth that a probe for each request costs; 0 if probes are free. */
+    /** {@code cost} is the part of the requests' worth that a probe for each request costs; 0 if probes are free. */
     ProbeBudget(double cost, long now, SplittableRandom random) {
         this.probesPerRequest = cost > 0 ? MAX_WORTH_SHARE / cost : Double.MAX_VALUE;
         this.random = random;
--- a/src/main/java/cairnline/control/RequestClass.java
+++ b/src/main/java/cairnline/control/RequestClass.java
@@ -71,7 +71,7 @@
         }
     }
 
-    /** Updates the paper's load ratio: summed predictions over summed minima; idle engines by recent ratio. */
+    /** Updates the paper's load ratio, summed predictions over minima; idle engines count by recent ratio. */
     void updateLoadRatio(Iterable<EngineEstimate> engines, long now) {
         double predictions = 0, minima = 0, contentions = 0;
         int count = 0, measured = 0;
--- a/src/test/java/cairnline/control/EmbeddingTest.java
+++ b/src/test/java/cairnline/control/EmbeddingTest.java
@@ -6,10 +6,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The least a front has to do: tell the list, a request and its outcome, and carry out what is asked. */
+/** The minimum of a front: report the engine list, a request and its outcome, and carry out the actions. */
 class EmbeddingTest {
     @Test
-    void aFrontOfAFewLines() {
+    void sendsRequestToListedEngine() {
         ScriptedFront front = new ScriptedFront(new TestSettings());
         front.listEngines("engine-1");
         front.request("query-1", "small");
--- a/src/test/java/cairnline/control/LargeFleetTest.java
+++ b/src/test/java/cairnline/control/LargeFleetTest.java
@@ -21,7 +21,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Many fronts that each see little of many engines. */
+/** Many fronts, each of which gets little information on many engines. */
 class LargeFleetTest {
     private static final int FRONTS = 300;
     private static final int ENGINES = 60;
@@ -36,7 +36,7 @@
         return all;
     }
 
-    private static String[] engines(int count) {
+    private static String[] engineIds(int count) {
         String[] ids = new String[count];
         for (int i = 0; i < count; i++) {
             ids[i] = "e" + i;
@@ -44,20 +44,20 @@
         return ids;
     }
 
-    /** Times of sends to each engine; each front takes five light queries a second for four seconds. */
+    /** Returns the times of sends to each engine; each front gets five light queries a second for four seconds. */
     private static Map<String, List<Long>> sends(List<ScriptedFront> fronts, List<Engine> list) {
-        fronts.forEach(s -> s.control.onEngineList(s.now, true, list));
+        fronts.forEach(front -> front.control.onEngineList(front.now, true, list));
         SplittableRandom random = new SplittableRandom(7);
         Map<String, List<Long>> sends = new HashMap<>();
         for (int tick = 0; tick < 800; tick++) {
-            for (ScriptedFront s : fronts) {
-                s.now += 5 * MILLI_NANOS;
+            for (ScriptedFront front : fronts) {
+                front.now += 5 * MILLI_NANOS;
                 if (random.nextInt(40) == 0) {
                     String id = "q" + tick;
-                    s.request(id, "small");
-                    String engine = s.engineOf(id);
+                    front.request(id, "small");
+                    String engine = front.engineOf(id);
                     if (engine != null) {
-                        sends.computeIfAbsent(engine, e -> new ArrayList<>()).add(s.now);
+                        sends.computeIfAbsent(engine, e -> new ArrayList<>()).add(front.now);
                     }
                 }
             }
@@ -66,21 +66,21 @@
     }
 
     /**
-     * Usual work of "small" is taken as 0.3 s while none is known; a new engine does at least 0.4 x 8 cores x 2 s,
-     * and falls over beyond twice that.
+     * The initial work of "small" is 0.3 s; a cold engine can do at least 0.4 x 8 cores x 2 s of work in a window, and
+     * is overloaded beyond twice that.
      */
-    private static void assertUnderTheColdRule(List<Long> at) {
-        double most = 2 * 0.4 * 8 * 2 / 0.3;
-        for (int from = 0, to = 0; to < at.size(); to++) {
-            while (at.get(from) <= at.get(to) - 2 * SECOND_NANOS) {
+    private static void assertWithinColdLimit(List<Long> sendTimes) {
+        double maxSends = 2 * 0.4 * 8 * 2 / 0.3;
+        for (int from = 0, to = 0; to < sendTimes.size(); to++) {
+            while (sendTimes.get(from) <= sendTimes.get(to) - 2 * SECOND_NANOS) {
                 from++;
             }
-            assertTrue(to - from + 1 <= most, (to - from + 1) + " sends in a window");
+            assertTrue(to - from + 1 <= maxSends, (to - from + 1) + " sends in a window");
         }
     }
 
     @Test
-    void newEnginesGetTheirPartOfAllFrontsInEveryWindow() {
+    void sendsColdEnginesTheirShareInEveryWindow() {
         List<Engine> list = new ArrayList<>();
         for (int i = 0; i < ENGINES; i++) {
             list.add(ScriptedFront.engine("e" + i, EngineStatus.READY, "plain", i % 3 == 0 ? 100 * SECOND_NANOS : 0));
@@ -88,341 +88,346 @@
         Map<String, List<Long>> sends = sends(fronts(), list);
         for (int i = 0; i < ENGINES; i += 3) {
             assertTrue(sends.containsKey("e" + i), "e" + i + " got nothing");
-            assertUnderTheColdRule(sends.get("e" + i));
+            assertWithinColdLimit(sends.get("e" + i));
         }
     }
 
     @Test
-    void newEnginesAreNotPushedOverWhenTheyAreAllThereIs() {
+    void doesNotOverloadColdEngineThatIsTheOnlyOne() {
         List<Engine> list = List.of(ScriptedFront.engine("e0", EngineStatus.READY, "plain", 100 * SECOND_NANOS));
-        assertUnderTheColdRule(sends(fronts(), list).get("e0"));
+        assertWithinColdLimit(sends(fronts(), list).get("e0"));
         settings.fronts = 3;
         List<ScriptedFront> few = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
             few.add(new ScriptedFront(settings, 100 * SECOND_NANOS, i));
         }
-        assertUnderTheColdRule(sends(few, list).get("e0"));
+        assertWithinColdLimit(sends(few, list).get("e0"));
     }
 
     @Test
-    void frontsThatHaveHeardNothingSpreadOverTheEngines() {
+    void spreadsFirstQueriesOfManyFrontsOverEngines() {
         Map<String, Integer> sends = new HashMap<>();
-        for (ScriptedFront s : fronts()) {
-            s.listEngines(engines(ENGINES));
-            s.request("a", "small");
-            sends.merge(s.engineOf("a"), 1, Integer::sum);
+        for (ScriptedFront front : fronts()) {
+            front.listEngines(engineIds(ENGINES));
+            front.request("a", "small");
+            sends.merge(front.engineOf("a"), 1, Integer::sum);
         }
         assertTrue(sends.size() > ENGINES * 3 / 4, "engines used: " + sends.size());
         sends.forEach((engine, count) -> assertTrue(count <= 20, engine + " got " + count));
     }
 
     @Test
-    void oneLightQueryOutDoesNotMakeAnEngineFull() {
+    void doesNotTreatEngineAsFullAfterOneLightQuery() {
         settings.fronts = FRONTS;
-        ScriptedFront s = new ScriptedFront(settings);
-        s.listEngines("e1");
+        ScriptedFront front = new ScriptedFront(settings);
+        front.listEngines("e1");
         for (int i = 0; i < 5; i++) {
-            s.request("a" + i, "small");
+            front.request("a" + i, "small");
         }
-        assertEquals(5, s.countActions("send"));
+        assertEquals(5, front.countActions("send"));
     }
 
     @Test
-    void aThirdOfAnswersResetLeavesTheFleetInUse() {
+    void keepsAllEnginesInUseWhenAThirdOfResponsesIsReset() {
         settings.fronts = FRONTS;
-        ScriptedFront s = new ScriptedFront(settings);
-        s.listEngines(engines(12));
-        Map<String, Integer> late = new HashMap<>();
+        ScriptedFront front = new ScriptedFront(settings);
+        front.listEngines(engineIds(12));
+        Map<String, Integer> lateSends = new HashMap<>();
         for (int i = 0; i < 600; i++) {
             String id = "a" + i;
-            s.request(id, "small");
-            for (int n = 0; n < 3 && s.countActions("send " + id + " ") == n + 1; n++) {
-                String engine = s.engineOf(id);
+            front.request(id, "small");
+            for (int n = 0; n < 3 && front.countActions("send " + id + " ") == n + 1; n++) {
+                String engine = front.engineOf(id);
                 if (i >= 300) {
-                    late.merge(engine, 1, Integer::sum);
+                    lateSends.merge(engine, 1, Integer::sum);
                 }
-                s.advance(50 * MILLI_NANOS);
+                front.advance(50 * MILLI_NANOS);
                 boolean reset = (i + n) % 3 == 0;
-                s.finish(id, n, engine, reset ? AttemptStatus.RESET : AttemptStatus.OK, 50 * MILLI_NANOS);
+                front.finish(id, n, engine, reset ? AttemptStatus.RESET : AttemptStatus.OK, 50 * MILLI_NANOS);
             }
-            s.actions.clear();
+            front.actions.clear();
         }
-        assertTrue(late.size() >= 11, "engines in use: " + late.size());
-        late.forEach((engine, count) -> assertTrue(count <= 120, engine + " got " + count));
+        assertTrue(lateSends.size() >= 11, "engines in use: " + lateSends.size());
+        lateSends.forEach((engine, count) -> assertTrue(count <= 120, engine + " got " + count));
     }
 
-    /** Takes eight, lets those at one engine end so at once, and counts what it gets of the next forty. */
-    private long afterLossAt(ScriptedFront s, AttemptStatus end, boolean probed) {
-        s.listEngines("e1", "e2");
+    /** Sends eight queries, ends those at e1 with a status at once, and counts its share of the next forty. */
+    private long sendsAfterLoss(ScriptedFront front, AttemptStatus status, boolean probed) {
+        front.listEngines("e1", "e2");
         for (int i = 0; i < 8; i++) {
-            s.request("a" + i, "small");
+            front.request("a" + i, "small");
         }
-        s.advance(50 * MILLI_NANOS);
+        front.advance(50 * MILLI_NANOS);
         for (int i = 0; i < 8; i++) {
-            if (s.engineOf("a" + i).equals("e1")) {
-                s.finish("a" + i, 0, "e1", end, 50 * MILLI_NANOS);
+            if (front.engineOf("a" + i).equals("e1")) {
+                front.finish("a" + i, 0, "e1", status, 50 * MILLI_NANOS);
             }
         }
         if (probed) {
-            s.control.onProbeResult(s.now, "e1", true, MILLI_NANOS, Load.NONE);
+            front.control.onProbeResult(front.now, "e1", true, MILLI_NANOS, Load.NONE);
         }
-        s.actions.clear();
+        front.actions.clear();
         for (int i = 0; i < 40; i++) {
-            s.request("b" + i, "small");
-            s.advance(50 * MILLI_NANOS);
-            s.finish("b" + i, 0, s.engineOf("b" + i), AttemptStatus.OK, 50 * MILLI_NANOS);
+            front.request("b" + i, "small");
+            front.advance(50 * MILLI_NANOS);
+            front.finish("b" + i, 0, front.engineOf("b" + i), AttemptStatus.OK, 50 * MILLI_NANOS);
         }
-        return s.actions.stream().filter(a -> a.matches("send b[0-9]+ e1.*")).count();
+        return front.actions.stream().filter(a -> a.matches("send b[0-9]+ e1.*")).count();
     }
 
     @Test
-    void attemptsLostTogetherWithTheirConnectionLeaveTheEngineInUse() {
+    void keepsUsingEngineAfterOneConnectionLoss() {
         settings.maxAttempts = 1;
-        assertTrue(afterLossAt(new ScriptedFront(settings), AttemptStatus.RESET, false) >= 8);
+        assertTrue(sendsAfterLoss(new ScriptedFront(settings), AttemptStatus.RESET, false) >= 8);
     }
 
     @Test
-    void anEngineThatAnswersAProbeIsThere() {
+    void usesEngineAgainAfterAnsweredProbe() {
         settings.maxAttempts = 1;
-        ScriptedFront s = new ScriptedFront(settings);
-        s.listEngines("e1", "e2");
+        ScriptedFront front = new ScriptedFront(settings);
+        front.listEngines("e1", "e2");
         for (int i = 0; i < 4; i++) {
-            s.request("c" + i, "small");
-            s.advance(300 * MILLI_NANOS);
-            s.finish("c" + i, 0, s.engineOf("c" + i), s.engineOf("c" + i).equals("e1") ? AttemptStatus.CONNECT_FAILED : AttemptStatus.OK, MILLI_NANOS);
+            front.request("c" + i, "small");
+            front.advance(300 * MILLI_NANOS);
+            front.finish("c" + i, 0, front.engineOf("c" + i),
+                    front.engineOf("c" + i).equals("e1") ? AttemptStatus.CONNECT_FAILED : AttemptStatus.OK, MILLI_NANOS);
         }
-        assertTrue(afterLossAt(s, AttemptStatus.CONNECT_FAILED, true) >= 8);
+        assertTrue(sendsAfterLoss(front, AttemptStatus.CONNECT_FAILED, true) >= 8);
     }
 
     @Test
-    void eachEngineIsAskedForItsLoadNowAndThen() {
+    void probesEachEngineRegularly() {
         settings.probes = true;
-        ScriptedFront s = new ScriptedFront(settings);
-        s.listEngines("e1", "e2");
-        s.advance(10 * SECOND_NANOS);
-        assertTrue(Math.abs(s.countActions("probe e1") - 10) <= 2, "probes of e1: " + s.countActions("probe e1"));
-        assertTrue(Math.abs(s.countActions("probe e2") - 10) <= 2, "probes of e2: " + s.countActions("probe e2"));
+        ScriptedFront front = new ScriptedFront(settings);
+        front.listEngines("e1", "e2");
+        front.advance(10 * SECOND_NANOS);
+        assertTrue(Math.abs(front.countActions("probe e1") - 10) <= 2, "probes of e1: " + front.countActions("probe e1"));
+        assertTrue(Math.abs(front.countActions("probe e2") - 10) <= 2, "probes of e2: " + front.countActions("probe e2"));
     }
 
     @Test
-    void whatNoEngineCanUseSpeaksAgainstNone() {
-        ScriptedFront s = new ScriptedFront(settings);
-        s.listEngines("e1", "e2", "e3");
+    void doesNotBlameEnginesForRequestsThatNoneCanServe() {
+        ScriptedFront front = new ScriptedFront(settings);
+        front.listEngines("e1", "e2", "e3");
         for (int i = 0; i < 10; i++) {
-            s.request("a" + i, "small");
-            for (int n = 0; n < 3 && s.countActions("send a" + i + " ") == n + 1; n++) {
-                s.advance(5 * MILLI_NANOS);
-                s.finish("a" + i, n, s.engineOf("a" + i), AttemptStatus.ERROR, 5 * MILLI_NANOS);
+            front.request("a" + i, "small");
+            for (int n = 0; n < 3 && front.countActions("send a" + i + " ") == n + 1; n++) {
+                front.advance(5 * MILLI_NANOS);
+                front.finish("a" + i, n, front.engineOf("a" + i), AttemptStatus.ERROR, 5 * MILLI_NANOS);
             }
         }
-        s.actions.clear();
+        front.actions.clear();
         for (int i = 0; i < 60; i++) {
-            s.request("b" + i, "small");
-            s.advance(50 * MILLI_NANOS);
-            s.finish("b" + i, 0, s.engineOf("b" + i), AttemptStatus.OK, 50 * MILLI_NANOS);
+            front.request("b" + i, "small");
+            front.advance(50 * MILLI_NANOS);
+            front.finish("b" + i, 0, front.engineOf("b" + i), AttemptStatus.OK, 50 * MILLI_NANOS);
         }
         for (String engine : List.of("e1", "e2", "e3")) {
-            assertTrue(s.actions.stream().filter(a -> a.matches("send b[0-9]+ " + engine + ".*")).count() >= 8, engine);
+            assertTrue(front.actions.stream().filter(a -> a.matches("send b[0-9]+ " + engine + ".*")).count() >= 8, engine);
         }
     }
 
     @Test
-    void withoutLostAnswersNoAttemptIsCutShort() {
+    void setsNoAttemptTimeoutWithoutLostResponses() {
         settings.cancel = true;
-        ScriptedFront s = new ScriptedFront(settings);
-        s.listEngines("e1", "e2");
+        ScriptedFront front = new ScriptedFront(settings);
+        front.listEngines("e1", "e2");
         for (int i = 0; i < 60; i++) {
-            s.request("a" + i, "small");
-            assertEquals(0, s.attemptTimeouts.get("a" + i));
-            s.advance(80 * MILLI_NANOS);
-            s.finish("a" + i, 0, s.engineOf("a" + i), AttemptStatus.OK, 80 * MILLI_NANOS);
+            front.request("a" + i, "small");
+            assertEquals(0, front.attemptTimeouts.get("a" + i));
+            front.advance(80 * MILLI_NANOS);
+            front.finish("a" + i, 0, front.engineOf("a" + i), AttemptStatus.OK, 80 * MILLI_NANOS);
         }
     }
 
     @Test
-    void aRepeatedKeyedLoadNeverLeavesItsWindow() {
+    void retriesKeyedRequestOnlyWithinItsWindow() {
         settings.cancel = true;
         settings.retrySafety = RetrySafety.KEYED;
         settings.keyWindow = 2 * SECOND_NANOS;
         settings.maxAttempts = 6;
-        ScriptedFront s = new ScriptedFront(settings);
-        s.listEngines("e1", "e2", "e3");
+        ScriptedFront front = new ScriptedFront(settings);
+        front.listEngines("e1", "e2", "e3");
         for (int i = 0; i < 200; i++) {
             String id = "a" + i;
-            s.request(id, "small");
-            long first = s.now;
-            for (int n = 0; n < 6 && s.countActions("send " + id + " ") == n + 1; n++) {
-                assertTrue(s.now < first + settings.keyWindow, "attempt " + n + " after " + (s.now - first) / MILLI_NANOS + " ms");
-                long taken = s.attemptTimeouts.get(id) > 0 ? s.attemptTimeouts.get(id) : 900 * MILLI_NANOS;
-                s.advance(taken);
-                s.finish(id, n, s.engineOf(id), AttemptStatus.TIMEOUT, taken);
+            front.request(id, "small");
+            long first = front.now;
+            for (int n = 0; n < 6 && front.countActions("send " + id + " ") == n + 1; n++) {
+                assertTrue(front.now < first + settings.keyWindow,
+                        "attempt " + n + " after " + (front.now - first) / MILLI_NANOS + " ms");
+                long elapsed = front.attemptTimeouts.get(id) > 0 ? front.attemptTimeouts.get(id) : 900 * MILLI_NANOS;
+                front.advance(elapsed);
+                front.finish(id, n, front.engineOf(id), AttemptStatus.TIMEOUT, elapsed);
             }
-            s.actions.clear();
+            front.actions.clear();
         }
     }
 
     @Test
-    void aRequestWithHardlyAnyTimeIsAnsweredAtOnce() {
-        ScriptedFront s = new ScriptedFront(settings);
-        s.listEngines();
-        s.request("a", "small", 20 * MILLI_NANOS);
-        assertEquals(List.of("refuse a"), s.newActions());
-        s.request("b", "small", 100 * MILLI_NANOS);
-        s.advance(71 * MILLI_NANOS);
-        assertEquals(List.of("refuse b"), s.newActions());
+    void refusesRequestWithTooShortTimeoutAtOnce() {
+        ScriptedFront front = new ScriptedFront(settings);
+        front.listEngines();
+        front.request("a", "small", 20 * MILLI_NANOS);
+        assertEquals(List.of("refuse a"), front.newActions());
+        front.request("b", "small", 100 * MILLI_NANOS);
+        front.advance(71 * MILLI_NANOS);
+        assertEquals(List.of("refuse b"), front.newActions());
     }
 
     @Test
-    void aFurtherAttemptWaitsForAnEngine() {
-        ScriptedFront s = new ScriptedFront(settings);
-        s.listEngines("e1");
-        s.request("a", "small");
-        s.updateEngine(ScriptedFront.engine("e1", EngineStatus.DRAINING, "plain", 0));
-        s.finish("a", 0, "e1", AttemptStatus.FULL, MILLI_NANOS);
-        s.advance(100 * MILLI_NANOS);
-        assertEquals(List.of("send a e1"), s.newActions());
-        s.listEngines("e2");
-        assertEquals(List.of("send a e2"), s.newActions());
+    void holdsRetryUntilAnEngineIsAvailable() {
+        ScriptedFront front = new ScriptedFront(settings);
+        front.listEngines("e1");
+        front.request("a", "small");
+        front.updateEngine(ScriptedFront.engine("e1", EngineStatus.DRAINING, "plain", 0));
+        front.finish("a", 0, "e1", AttemptStatus.FULL, MILLI_NANOS);
+        front.advance(100 * MILLI_NANOS);
+        assertEquals(List.of("send a e1"), front.newActions());
+        front.listEngines("e2");
+        assertEquals(List.of("send a e2"), front.newActions());
     }
 
     @Test
-    void anEngineWhoseMemoryIsOvercommittedIsFullThoughItsCoresIdle() {
+    void treatsEngineWithOvercommittedMemoryAsFull() {
         settings.fronts = FRONTS;
-        ScriptedFront s = new ScriptedFront(settings);
-        s.listEngines("e1", "e2");
-        s.request("a", "small");
-        String jammed = s.engineOf("a");
-        s.advance(50 * MILLI_NANOS);
+        ScriptedFront front = new ScriptedFront(settings);
+        front.listEngines("e1", "e2");
+        front.request("a", "small");
+        String overcommitted = front.engineOf("a");
+        front.advance(50 * MILLI_NANOS);
         Load load = new Load(0.2, 0, Double.NaN, 2, 0.2);
-        s.control.onOutcome(s.now, new Outcome("a", 0, jammed, AttemptStatus.OK, 50 * MILLI_NANOS, true, 0, 0, load));
+        front.control.onOutcome(front.now,
+                new Outcome("a", 0, overcommitted, AttemptStatus.OK, 50 * MILLI_NANOS, true, 0, 0, load));
         for (int i = 0; i < 6; i++) {
-            s.request("b" + i, "small");
-            assertNotEquals(jammed, s.engineOf("b" + i));
+            front.request("b" + i, "small");
+            assertNotEquals(overcommitted, front.engineOf("b" + i));
         }
     }
 
-    /** Once two thirds of all queries spilt where answers do not tell the memory needed. */
+    /** Guards against estimates that stay too low where answers do not report the memory needed: two thirds spilled. */
     @Test
-    void spillsRaiseTheMemoryGrantedOverEstimatesThatLieTooLow() {
-        ScriptedFront s = new ScriptedFront(settings);
-        s.listEngines("e1", "e2");
+    void raisesMemoryGrantAfterSpills() {
+        ScriptedFront front = new ScriptedFront(settings);
+        front.listEngines("e1", "e2");
         for (int i = 0; i < 10; i++) {
-            s.requestWithMemory("a" + i, "big", 400);
-            s.statusUpdate("a" + i, 0, StatusKind.SPILL, 100);
-            s.finish("a" + i, 0, s.engineOf("a" + i), AttemptStatus.OK, 300 * MILLI_NANOS);
+            front.requestWithMemory("a" + i, "big", 400);
+            front.statusUpdate("a" + i, 0, StatusKind.SPILL, 100);
+            front.finish("a" + i, 0, front.engineOf("a" + i), AttemptStatus.OK, 300 * MILLI_NANOS);
         }
-        s.requestWithMemory("x", "big", 400);
-        assertTrue(s.actions.contains("options x 621 1"), s.actions.toString());
+        front.requestWithMemory("x", "big", 400);
+        assertTrue(front.actions.contains("options x 621 1"), front.actions.toString());
     }
 
-    /** Late queries that earned nothing once held their engines until the client's patience ended. */
+    /** Guards against late queries that occupy their engines until the client's timeout although they earn nothing. */
     @Test
-    void workThatEarnsNothingLateIsCalledOffPastItsAim() {
+    void timesOutAttemptsWhoseLateAnswerEarnsNothing() {
         settings.cancel = true;
         settings.clientsMarkRetries = true;
-        ScriptedFront s = new ScriptedFront(settings);
-        s.listEngines("e1", "e2");
-        s.request("a", "small");
-        assertEquals(600 * MILLI_NANOS, s.attemptTimeouts.get("a"));
-        s.request("b", "big");
-        assertEquals(0, s.attemptTimeouts.get("b"), "a late answer of this class still earns something");
+        ScriptedFront front = new ScriptedFront(settings);
+        front.listEngines("e1", "e2");
+        front.request("a", "small");
+        assertEquals(600 * MILLI_NANOS, front.attemptTimeouts.get("a"));
+        front.request("b", "big");
+        assertEquals(0, front.attemptTimeouts.get("b"), "a late answer of this class still earns something");
     }
 
     @Test
-    void aRepeatWhoseClientHasWaitedPastTheAimIsRefusedAtOnce() {
-        ScriptedFront s = new ScriptedFront(settings);
-        s.listEngines("e1", "e2");
-        s.request("a", "small");
-        s.finish("a", 0, s.engineOf("a"), AttemptStatus.OK, 100 * MILLI_NANOS);
-        s.newActions();
-        s.control.onRequest(s.now, new ControlApi.Request("b", "small", "one", false, 0, 2 * SECOND_NANOS, 0, 0, -1, true));
-        assertEquals(List.of("refuse b"), s.newActions());
-        s.control.onRequest(s.now, new ControlApi.Request("c", "small", "one", false, 0, 3 * SECOND_NANOS, 0, 0, -1, true));
-        assertEquals(1, s.countActions("send c"), "nothing tells that this one is late");
+    void refusesRetryOfClientThatWaitedPastLatencyTarget() {
+        ScriptedFront front = new ScriptedFront(settings);
+        front.listEngines("e1", "e2");
+        front.request("a", "small");
+        front.finish("a", 0, front.engineOf("a"), AttemptStatus.OK, 100 * MILLI_NANOS);
+        front.newActions();
+        front.control.onRequest(front.now,
+                new ControlApi.Request("b", "small", "one", false, 0, 2 * SECOND_NANOS, 0, 0, -1, true));
+        assertEquals(List.of("refuse b"), front.newActions());
+        front.control.onRequest(front.now,
+                new ControlApi.Request("c", "small", "one", false, 0, 3 * SECOND_NANOS, 0, 0, -1, true));
+        assertEquals(1, front.countActions("send c"), "its timeout does not show that it is late");
     }
 
     @Test
-    void anAttemptWhoseNotesStayAwayIsTriedElsewhere() {
+    void retriesAttemptWithoutStatusUpdatesElsewhere() {
         settings.cancel = true;
         settings.statusInterval = 500 * MILLI_NANOS;
-        ScriptedFront s = new ScriptedFront(settings);
-        s.listEngines("e1", "e2");
-        s.request("a", "big");
-        s.advance(500 * MILLI_NANOS);
-        s.progress("a", 0, s.engineOf("a"), 0.2);
-        s.advance(600 * MILLI_NANOS);
-        assertEquals(0, s.countActions("cancel"), "a note is hardly due");
-        s.advance(500 * MILLI_NANOS);
-        assertEquals(1, s.countActions("cancel a 0"));
-        String silent = s.engineOf("a");
-        s.finish("a", 0, silent, AttemptStatus.CANCELLED, 1600 * MILLI_NANOS);
-        assertEquals(2, s.countActions("send a"));
-        assertNotEquals(silent, s.engineOf("a"));
+        ScriptedFront front = new ScriptedFront(settings);
+        front.listEngines("e1", "e2");
+        front.request("a", "big");
+        front.advance(500 * MILLI_NANOS);
+        front.progress("a", 0, front.engineOf("a"), 0.2);
+        front.advance(600 * MILLI_NANOS);
+        assertEquals(0, front.countActions("cancel"), "a status update is barely due");
+        front.advance(500 * MILLI_NANOS);
+        assertEquals(1, front.countActions("cancel a 0"));
+        String silentEngine = front.engineOf("a");
+        front.finish("a", 0, silentEngine, AttemptStatus.CANCELLED, 1600 * MILLI_NANOS);
+        assertEquals(2, front.countActions("send a"));
+        assertNotEquals(silentEngine, front.engineOf("a"));
     }
 
     @Test
-    void timeInWhichTheFrontStoodStillIsNoSilence() {
+    void doesNotCountOwnStallAsSilenceOfEngine() {
         settings.cancel = true;
         settings.statusInterval = 500 * MILLI_NANOS;
-        ScriptedFront s = new ScriptedFront(settings);
-        s.listEngines("e1", "e2");
-        s.request("a", "big");
-        s.now += 2 * SECOND_NANOS;
-        s.control.onTimer(s.now, 1);
-        s.progress("a", 0, s.engineOf("a"), 0.5);
-        assertEquals(0, s.countActions("cancel"));
+        ScriptedFront front = new ScriptedFront(settings);
+        front.listEngines("e1", "e2");
+        front.request("a", "big");
+        front.now += 2 * SECOND_NANOS;
+        front.control.onTimer(front.now, 1);
+        front.progress("a", 0, front.engineOf("a"), 0.5);
+        assertEquals(0, front.countActions("cancel"));
     }
 
-    /** Loads that stood behind another load were once called off as hopeless, and failed. */
+    /** Guards against loads that wait for another load, are cancelled as hopeless and so fail. */
     @Test
-    void standingBehindALoadIsNoSlownessOfWhatMayNotBeRepeated() {
+    void doesNotCancelUnsafeRequestThatWaitsForLoad() {
         settings.cancel = true;
         settings.retrySafety = RetrySafety.UNSAFE;
         settings.statusInterval = 500 * MILLI_NANOS;
-        ScriptedFront s = new ScriptedFront(settings);
-        s.listEngines("e1");
-        s.request("a", "small");
-        s.statusUpdate("a", 0, StatusKind.WAITS_LOAD, 2);
+        ScriptedFront front = new ScriptedFront(settings);
+        front.listEngines("e1");
+        front.request("a", "small");
+        front.statusUpdate("a", 0, StatusKind.WAITS_LOAD, 2);
         for (int i = 0; i < 4; i++) {
-            s.advance(500 * MILLI_NANOS);
-            s.progress("a", 0, "e1", 0);
+            front.advance(500 * MILLI_NANOS);
+            front.progress("a", 0, "e1", 0);
         }
-        s.advance(500 * MILLI_NANOS);
-        s.progress("a", 0, "e1", 0.55);
-        assertEquals(0, s.countActions("cancel"));
+        front.advance(500 * MILLI_NANOS);
+        front.progress("a", 0, "e1", 0.55);
+        assertEquals(0, front.countActions("cancel"));
     }
 
     @Test
-    void aQueryThatStandsBehindALoadIsSentElsewhereOnce() {
+    void movesQueryThatWaitsForLoadOnce() {
         settings.cancel = true;
-        ScriptedFront s = new ScriptedFront(settings);
-        s.listEngines("e1", "e2");
-        s.request("a", "big");
-        String held = s.engineOf("a");
-        s.statusUpdate("a", 0, StatusKind.WAITS_LOAD, 2);
-        assertEquals(1, s.countActions("cancel a 0"));
-        s.finish("a", 0, held, AttemptStatus.CANCELLED, 5 * MILLI_NANOS);
-        assertNotEquals(held, s.engineOf("a"));
-        s.statusUpdate("a", 1, StatusKind.WAITS_LOAD, 2);
-        assertEquals(0, s.countActions("cancel a 1"));
+        ScriptedFront front = new ScriptedFront(settings);
+        front.listEngines("e1", "e2");
+        front.request("a", "big");
+        String firstEngine = front.engineOf("a");
+        front.statusUpdate("a", 0, StatusKind.WAITS_LOAD, 2);
+        assertEquals(1, front.countActions("cancel a 0"));
+        front.finish("a", 0, firstEngine, AttemptStatus.CANCELLED, 5 * MILLI_NANOS);
+        assertNotEquals(firstEngine, front.engineOf("a"));
+        front.statusUpdate("a", 1, StatusKind.WAITS_LOAD, 2);
+        assertEquals(0, front.countActions("cancel a 1"));
     }
 
-    /** Engines that report nothing: own delays alone must tell an overload. */
+    /** Without load reports, the front must detect an overload from its own delays alone. */
     @Test
-    void withoutReportsAnOverloadRefusesSomeAndSendsSome() {
+    void refusesOnlyPartOfOverloadWithoutLoadReports() {
         settings.fronts = FRONTS;
-        ScriptedFront s = new ScriptedFront(settings);
-        s.listEngines("e1", "e2", "e3");
+        ScriptedFront front = new ScriptedFront(settings);
+        front.listEngines("e1", "e2", "e3");
         for (int i = 0; i < 300; i++) {
             String id = "a" + i;
-            s.request(id, "small");
+            front.request(id, "small");
             long rtt = i % 3 == 0 ? 400 * MILLI_NANOS : 900 * MILLI_NANOS;
-            s.advance(rtt);
-            if (s.countActions("send " + id + " ") == 1) {
-                s.finish(id, 0, s.engineOf(id), AttemptStatus.OK, rtt);
+            front.advance(rtt);
+            if (front.countActions("send " + id + " ") == 1) {
+                front.finish(id, 0, front.engineOf(id), AttemptStatus.OK, rtt);
             }
         }
-        long refused = s.countActions("refuse");
+        long refused = front.countActions("refuse");
         assertTrue(refused > 0 && refused < 300, "refused " + refused + " of 300");
     }
 }
--- a/src/test/java/cairnline/control/ModuleSizeTest.java
+++ b/src/test/java/cairnline/control/ModuleSizeTest.java
@@ -10,24 +10,24 @@
 import java.util.regex.Pattern;
 import org.junit.jupiter.api.Test;
 
-/** Each file of the decision module stays short enough to be read at night. */
+/** The size of each file of the decision module is limited, so that it stays readable. */
 class ModuleSizeTest {
-    private static final int LINES = 800;
-    private static final int WIDTH = 110;
+    private static final int MAX_LINES = 800;
+    private static final int MAX_LINE_CHARS = 110;
 
     @Test
-    void theModuleKeepsItsLimits() throws IOException {
+    void keepsModuleFilesWithinSizeLimits() throws IOException {
         String policy = Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
                 .filter(line -> line.startsWith("policy = ")).findFirst().orElseThrow();
         int files = 0;
         Matcher file = Pattern.compile("\"([^\"]+)\"").matcher(policy);
         while (file.find()) {
             List<String> lines = Files.readAllLines(Path.of(file.group(1)));
-            long filled = lines.stream().filter(line -> !line.isBlank()).count();
-            assertTrue(filled > 0 && filled <= LINES, file.group(1) + " has " + filled + " lines");
+            long nonBlank = lines.stream().filter(line -> !line.isBlank()).count();
+            assertTrue(nonBlank > 0 && nonBlank <= MAX_LINES, file.group(1) + " has " + nonBlank + " lines");
             files++;
             for (String line : lines) {
-                assertTrue(line.length() <= WIDTH, "too wide: " + line);
+                assertTrue(line.length() <= MAX_LINE_CHARS, "too wide: " + line);
             }
         }
         assertTrue(files > 1, "files: " + files);
--- a/src/test/java/cairnline/control/PlacementTest.java
+++ b/src/test/java/cairnline/control/PlacementTest.java
@@ -18,7 +18,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** The order of engines by group of tables, and what fourteen fronts that keep it do together. */
+/** The order of engines by table group, and the combined effect of several fronts that follow it. */
 class PlacementTest {
     private static final int FRONTS = 14;
     private static final int ENGINES = 60;
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void allEnginesAreCoveredEvenlyOverAllGroups() {
+    void coversEnginesEvenlyOverAllGroups() {
         Map<String, Integer> groups = new HashMap<>();
         for (int g = 0; g < GROUPS; g++) {
             firstThree(ids(ENGINES), g).forEach(e -> groups.merge(e, 1, Integer::sum));
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void anEngineThatGoesMovesOnlyItsOwnPart() {
+    void movesOnlyGroupsOfRemovedEngine() {
         List<String> fewer = new ArrayList<>(ids(ENGINES));
         fewer.remove("s-17");
         for (int g = 0; g < GROUPS; g++) {
@@ -60,71 +60,74 @@
         }
     }
 
-    /** A front that has all engines listed. */
+    /** Returns a front with all engines in its list. */
     private static ScriptedFront front(TestSettings settings, int seed) {
-        ScriptedFront s = new ScriptedFront(settings, 100 * SECOND_NANOS, seed);
-        s.control.onEngineList(s.now, true,
+        ScriptedFront front = new ScriptedFront(settings, 100 * SECOND_NANOS, seed);
+        front.control.onEngineList(front.now, true,
                 ids(ENGINES).stream().map(id -> ScriptedFront.engine(id, EngineStatus.READY, "large", 0)).toList());
-        return s;
+        return front;
     }
 
-    /** Engines that get a group's requests of this class from all fronts, each of which sends this many. */
-    private static Set<String> used(TestSettings settings, String type, int each) {
+    /** Returns the engines that get {@code each} requests of one class and one table group from every front. */
+    private static Set<String> enginesUsed(TestSettings settings, String requestClass, int each) {
         settings.fronts = FRONTS;
         Set<String> used = new HashSet<>();
         for (int f = 0; f < FRONTS; f++) {
-            ScriptedFront s = front(settings, 70 + f);
+            ScriptedFront front = front(settings, 70 + f);
             for (int i = 0; i < each; i++) {
-                s.control.onRequest(s.now, new Request("q" + i, type, "one", false, 0, 3 * SECOND_NANOS, 0, 0, 5, false));
-                used.add(s.engineOf("q" + i));
+                front.control.onRequest(front.now,
+                        new Request("q" + i, requestClass, "one", false, 0, 3 * SECOND_NANOS, 0, 0, 5, false));
+                used.add(front.engineOf("q" + i));
             }
         }
         return used;
     }
 
-    /** Each front once spread each group over all engines: none stayed warm for it. */
+    /** Guards against each front spreading a group over all engines, so that none keeps its tables warm. */
     @Test
-    void aGroupsQueriesOfAllFrontsMeetOnAFewEngines() {
-        Set<String> used = used(new TestSettings(), "small", 1);
+    void sendsQueriesOfAGroupToAFewEngines() {
+        Set<String> used = enginesUsed(new TestSettings(), "small", 1);
         assertTrue(used.size() <= 3 && firstThree(ids(ENGINES), 5).containsAll(used), "engines: " + used);
     }
 
     @Test
-    void aGroupsLoadsKeepAwayFromItsQueriesAndFromEachOther() {
+    void spreadsLoadsAwayFromQueriesOfTheirGroup() {
         TestSettings settings = new TestSettings();
         settings.bigLocksTables = true;
-        Set<String> used = used(settings, "big", 2);
+        Set<String> used = enginesUsed(settings, "big", 2);
         assertTrue(used.size() >= 14, "engines with its loads: " + used.size());
-        long met = firstThree(ids(ENGINES), 5).stream().filter(used::contains).count();
-        assertTrue(met <= 1, "of its first three so many have a load: " + met);
+        long withLoad = firstThree(ids(ENGINES), 5).stream().filter(used::contains).count();
+        assertTrue(withLoad <= 1, "engines among the first three of the group that have a load: " + withLoad);
     }
 
-    /** A hot group must not jam its engines while others have room. */
+    /** A hot group must not overload its engines while others have room. */
     @Test
-    void aHotGroupSpillsToTheNextEngines() {
+    void sendsHotGroupToFurtherEngines() {
         TestSettings settings = new TestSettings();
         settings.fronts = FRONTS;
-        ScriptedFront s = front(settings, 3);
+        ScriptedFront front = front(settings, 3);
         Map<String, Integer> sent = new HashMap<>();
         for (int i = 0; i < 120; i++) {
-            s.control.onRequest(s.now, new Request("q" + i, "small", "one", false, 0, 3 * SECOND_NANOS, 0, 0, 5, false));
-            if (s.countActions("send q" + i + " ") > 0) {
-                sent.merge(s.engineOf("q" + i), 1, Integer::sum);
+            front.control.onRequest(front.now,
+                    new Request("q" + i, "small", "one", false, 0, 3 * SECOND_NANOS, 0, 0, 5, false));
+            if (front.countActions("send q" + i + " ") > 0) {
+                sent.merge(front.engineOf("q" + i), 1, Integer::sum);
             }
         }
         assertTrue(sent.size() >= 5, "engines used: " + sent);
     }
 
-    /** A hundred fronts, none of which hears enough to see it, once sent all queries of a hot group to one engine. */
+    /** Guards against many fronts, none of which gets enough reports to notice, sending a hot group to one engine. */
     @Test
-    void aHundredFrontsSpreadAHotGroup() {
+    void spreadsHotGroupOfAHundredFronts() {
         TestSettings settings = new TestSettings();
         settings.fronts = 100;
         Map<String, Integer> sent = new HashMap<>();
         for (int f = 0; f < settings.fronts; f++) {
-            ScriptedFront s = front(settings, 500 + f);
-            s.control.onRequest(s.now, new Request("q", "small", "one", false, 0, 3 * SECOND_NANOS, 0, 0, 5, false));
-            sent.merge(s.engineOf("q"), 1, Integer::sum);
+            ScriptedFront front = front(settings, 500 + f);
+            front.control.onRequest(front.now,
+                    new Request("q", "small", "one", false, 0, 3 * SECOND_NANOS, 0, 0, 5, false));
+            sent.merge(front.engineOf("q"), 1, Integer::sum);
         }
         assertTrue(Collections.max(sent.values()) <= 25, "queries by engine: " + sent);
         assertTrue(sent.size() >= 15, "engines used: " + sent.size());
--- a/src/test/java/cairnline/control/SafetyRulesTest.java
+++ b/src/test/java/cairnline/control/SafetyRulesTest.java
@@ -16,346 +16,350 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The rules, driven by scripted events. */
+/** The safety rules, driven by scripted events. */
 class SafetyRulesTest {
     private final TestSettings settings = new TestSettings();
 
     @Test
-    void aHeldRequestIsAnsweredOnceBeforeItsTimeIsUp() {
-        ScriptedFront s = new ScriptedFront(settings);
-        s.listEngines();
-        s.request("a", "small");
-        assertEquals(List.of(), s.newActions());
-        s.advance(3 * SECOND_NANOS);
-        assertEquals(List.of("refuse a"), s.newActions());
+    void refusesHeldRequestOnceBeforeItsDeadline() {
+        ScriptedFront front = new ScriptedFront(settings);
+        front.listEngines();
+        front.request("a", "small");
+        assertEquals(List.of(), front.newActions());
+        front.advance(3 * SECOND_NANOS);
+        assertEquals(List.of("refuse a"), front.newActions());
     }
 
     @Test
-    void aTimeoutAtTheDeadlineIsFailedOnce() {
-        ScriptedFront s = new ScriptedFront(settings);
-        s.listEngines("e1");
-        s.request("a", "small");
-        s.advance(3 * SECOND_NANOS);
-        s.newActions();
-        s.finish("a", 0, "e1", AttemptStatus.TIMEOUT, 3 * SECOND_NANOS);
-        s.control.onAbandoned(s.now, "a");
-        assertEquals(List.of("fail a"), s.newActions());
+    void failsRequestOnceAfterTimeoutAtDeadline() {
+        ScriptedFront front = new ScriptedFront(settings);
+        front.listEngines("e1");
+        front.request("a", "small");
+        front.advance(3 * SECOND_NANOS);
+        front.newActions();
+        front.finish("a", 0, "e1", AttemptStatus.TIMEOUT, 3 * SECOND_NANOS);
+        front.control.onAbandoned(front.now, "a");
+        assertEquals(List.of("fail a"), front.newActions());
     }
 
     @Test
-    void nothingIsSentForARequestWhoseClientHasLeft() {
-        ScriptedFront s = new ScriptedFront(settings);
-        s.listEngines("e1");
-        s.request("a", "small");
-        s.newActions();
-        s.control.onAbandoned(s.now, "a");
-        s.finish("a", 0, "e1", AttemptStatus.ERROR, MILLI_NANOS);
-        assertEquals(List.of(), s.newActions());
+    void sendsNothingForAbandonedRequest() {
+        ScriptedFront front = new ScriptedFront(settings);
+        front.listEngines("e1");
+        front.request("a", "small");
+        front.newActions();
+        front.control.onAbandoned(front.now, "a");
+        front.finish("a", 0, "e1", AttemptStatus.ERROR, MILLI_NANOS);
+        assertEquals(List.of(), front.newActions());
     }
 
     @Test
-    void aSafeRequestIsTriedElsewhereAfterAnError() {
-        ScriptedFront s = new ScriptedFront(settings);
-        s.listEngines("e1", "e2");
-        s.request("a", "small");
-        String first = s.engineOf("a");
-        s.finish("a", 0, first, AttemptStatus.ERROR, MILLI_NANOS);
-        assertNotEquals(first, s.engineOf("a"));
-        assertEquals(2, s.countActions("send a"));
+    void retriesSafeRequestElsewhereAfterError() {
+        ScriptedFront front = new ScriptedFront(settings);
+        front.listEngines("e1", "e2");
+        front.request("a", "small");
+        String first = front.engineOf("a");
+        front.finish("a", 0, first, AttemptStatus.ERROR, MILLI_NANOS);
+        assertNotEquals(first, front.engineOf("a"));
+        assertEquals(2, front.countActions("send a"));
     }
 
     @Test
-    void noSecondAttemptGoesOutWhileACancelledOneHasNoOutcome() {
+    void waitsForOutcomeOfCancelledAttemptBeforeRetry() {
         settings.cancel = true;
-        ScriptedFront s = new ScriptedFront(settings);
-        s.listEngines("e1", "e2");
-        s.request("a", "big");
-        s.advance(14 * SECOND_NANOS);
-        s.progress("a", 0, s.engineOf("a"), 0.01);
-        assertEquals(1, s.countActions("cancel a 0"));
-        s.listEngines("e1", "e2", "e3");
-        s.advance(500 * MILLI_NANOS);
-        assertEquals(1, s.countActions("send a"));
+        ScriptedFront front = new ScriptedFront(settings);
+        front.listEngines("e1", "e2");
+        front.request("a", "big");
+        front.advance(14 * SECOND_NANOS);
+        front.progress("a", 0, front.engineOf("a"), 0.01);
+        assertEquals(1, front.countActions("cancel a 0"));
+        front.listEngines("e1", "e2", "e3");
+        front.advance(500 * MILLI_NANOS);
+        assertEquals(1, front.countActions("send a"));
     }
 
     @Test
-    void attemptsStayWithinTheLimit() {
+    void keepsAttemptsWithinLimit() {
         settings.maxAttempts = 2;
-        ScriptedFront s = new ScriptedFront(settings);
-        s.listEngines("e1", "e2", "e3");
-        s.request("a", "small");
-        s.finish("a", 0, s.engineOf("a"), AttemptStatus.ERROR, MILLI_NANOS);
-        s.finish("a", 1, s.engineOf("a"), AttemptStatus.ERROR, MILLI_NANOS);
-        assertEquals(2, s.countActions("send a"));
-        assertEquals(1, s.countActions("refuse a"));
+        ScriptedFront front = new ScriptedFront(settings);
+        front.listEngines("e1", "e2", "e3");
+        front.request("a", "small");
+        front.finish("a", 0, front.engineOf("a"), AttemptStatus.ERROR, MILLI_NANOS);
+        front.finish("a", 1, front.engineOf("a"), AttemptStatus.ERROR, MILLI_NANOS);
+        assertEquals(2, front.countActions("send a"));
+        assertEquals(1, front.countActions("refuse a"));
     }
 
     @Test
-    void furtherAttemptsStayWithinTheBudgetOfTheWindow() {
+    void keepsRetriesWithinBudgetOfWindow() {
         settings.retryAllowance = 1;
-        ScriptedFront s = new ScriptedFront(settings);
-        s.listEngines("e1", "e2", "e3");
+        ScriptedFront front = new ScriptedFront(settings);
+        front.listEngines("e1", "e2", "e3");
         for (String id : List.of("a", "b")) {
-            s.request(id, "small");
-            s.finish(id, 0, s.engineOf(id), AttemptStatus.FULL, MILLI_NANOS);
+            front.request(id, "small");
+            front.finish(id, 0, front.engineOf(id), AttemptStatus.FULL, MILLI_NANOS);
         }
-        assertEquals(2, s.countActions("send a"));
-        assertEquals(1, s.countActions("send b"));
-        assertEquals(1, s.countActions("refuse b"));
-        s.advance(11 * SECOND_NANOS);
-        s.request("c", "small");
-        s.finish("c", 0, s.engineOf("c"), AttemptStatus.FULL, MILLI_NANOS);
-        assertEquals(2, s.countActions("send c"));
+        assertEquals(2, front.countActions("send a"));
+        assertEquals(1, front.countActions("send b"));
+        assertEquals(1, front.countActions("refuse b"));
+        front.advance(11 * SECOND_NANOS);
+        front.request("c", "small");
+        front.finish("c", 0, front.engineOf("c"), AttemptStatus.FULL, MILLI_NANOS);
+        assertEquals(2, front.countActions("send c"));
     }
 
     @Test
-    void anUnsafeRequestThatMayHaveRunIsFailedAndNotRepeated() {
+    void failsUnsafeRequestThatMayHaveRun() {
         settings.retrySafety = RetrySafety.UNSAFE;
-        ScriptedFront s = new ScriptedFront(settings);
-        s.listEngines("e1", "e2");
-        s.request("a", "small");
-        s.finish("a", 0, s.engineOf("a"), AttemptStatus.RESET, MILLI_NANOS);
-        assertEquals(1, s.countActions("send a"));
-        assertEquals(1, s.countActions("fail a"));
+        ScriptedFront front = new ScriptedFront(settings);
+        front.listEngines("e1", "e2");
+        front.request("a", "small");
+        front.finish("a", 0, front.engineOf("a"), AttemptStatus.RESET, MILLI_NANOS);
+        assertEquals(1, front.countActions("send a"));
+        assertEquals(1, front.countActions("fail a"));
     }
 
     @Test
-    void anUnsafeRequestThatNeverRanIsSentAgain() {
+    void retriesUnsafeRequestThatNeverRan() {
         settings.retrySafety = RetrySafety.UNSAFE;
-        ScriptedFront s = new ScriptedFront(settings);
-        s.listEngines("e1", "e2");
-        s.request("a", "small");
-        s.finish("a", 0, s.engineOf("a"), AttemptStatus.FULL, MILLI_NANOS);
-        assertEquals(2, s.countActions("send a"));
+        ScriptedFront front = new ScriptedFront(settings);
+        front.listEngines("e1", "e2");
+        front.request("a", "small");
+        front.finish("a", 0, front.engineOf("a"), AttemptStatus.FULL, MILLI_NANOS);
+        assertEquals(2, front.countActions("send a"));
     }
 
     @Test
-    void aKeyedRequestIsRepeatedOnlyInsideItsWindow() {
+    void retriesKeyedRequestOnlyWithinItsWindow() {
         settings.retrySafety = RetrySafety.KEYED;
         settings.keyWindow = SECOND_NANOS / 2;
-        ScriptedFront s = new ScriptedFront(settings);
-        s.listEngines("e1", "e2");
-        s.request("a", "small");
-        s.finish("a", 0, s.engineOf("a"), AttemptStatus.ERROR, MILLI_NANOS);
-        assertEquals(2, s.countActions("send a"));
-        s.advance(300 * MILLI_NANOS);
-        s.finish("a", 1, s.engineOf("a"), AttemptStatus.ERROR, MILLI_NANOS);
-        assertEquals(2, s.countActions("send a"));
-        assertEquals(1, s.countActions("refuse a"), "all engines drop repeats, so a refusal is honest");
+        ScriptedFront front = new ScriptedFront(settings);
+        front.listEngines("e1", "e2");
+        front.request("a", "small");
+        front.finish("a", 0, front.engineOf("a"), AttemptStatus.ERROR, MILLI_NANOS);
+        assertEquals(2, front.countActions("send a"));
+        front.advance(300 * MILLI_NANOS);
+        front.finish("a", 1, front.engineOf("a"), AttemptStatus.ERROR, MILLI_NANOS);
+        assertEquals(2, front.countActions("send a"));
+        assertEquals(1, front.countActions("refuse a"), "all engines drop repeats, so a retry after the refusal is safe");
     }
 
     @Test
-    void aKeyedRequestOfOneCellIsNeverRefusedOnceItMayHaveRun() {
+    void failsKeyedRequestOfOneCellThatMayHaveRun() {
         settings.retrySafety = RetrySafety.KEYED;
         settings.keyScope = DeduplicationScope.CELL;
-        ScriptedFront s = new ScriptedFront(settings);
-        s.listEngines("e1");
-        s.request("a", "small");
-        s.updateEngine(ScriptedFront.engine("e1", EngineStatus.REMOVED, "plain", 0));
-        s.finish("a", 0, "e1", AttemptStatus.RESET, MILLI_NANOS);
-        assertEquals(List.of("send a e1", "fail a"), s.newActions());
+        ScriptedFront front = new ScriptedFront(settings);
+        front.listEngines("e1");
+        front.request("a", "small");
+        front.updateEngine(ScriptedFront.engine("e1", EngineStatus.REMOVED, "plain", 0));
+        front.finish("a", 0, "e1", AttemptStatus.RESET, MILLI_NANOS);
+        assertEquals(List.of("send a e1", "fail a"), front.newActions());
     }
 
     @Test
-    void nothingNewGoesToADrainingOrGoneEngine() {
-        ScriptedFront s = new ScriptedFront(settings);
-        s.listEngines("e1");
-        s.updateEngine(ScriptedFront.engine("e1", EngineStatus.DRAINING, "plain", 0));
-        s.request("a", "small");
-        s.advance(SECOND_NANOS);
-        s.updateEngine(ScriptedFront.engine("e1", EngineStatus.REMOVED, "plain", 0));
-        s.request("b", "small");
-        s.advance(4 * SECOND_NANOS);
-        assertEquals(0, s.countActions("send"));
-        assertEquals(2, s.countActions("refuse"));
+    void sendsNothingToDrainingOrRemovedEngine() {
+        ScriptedFront front = new ScriptedFront(settings);
+        front.listEngines("e1");
+        front.updateEngine(ScriptedFront.engine("e1", EngineStatus.DRAINING, "plain", 0));
+        front.request("a", "small");
+        front.advance(SECOND_NANOS);
+        front.updateEngine(ScriptedFront.engine("e1", EngineStatus.REMOVED, "plain", 0));
+        front.request("b", "small");
+        front.advance(4 * SECOND_NANOS);
+        assertEquals(0, front.countActions("send"));
+        assertEquals(2, front.countActions("refuse"));
     }
 
     @Test
-    void anEngineMissingFromACompleteListIsGone() {
-        ScriptedFront s = new ScriptedFront(settings);
-        s.listEngines("e1", "e2");
-        s.listEngines("e2");
-        s.request("a", "small");
-        s.request("b", "small");
-        assertEquals(List.of("send a e2", "send b e2"), s.newActions());
+    void removesEngineMissingFromCompleteList() {
+        ScriptedFront front = new ScriptedFront(settings);
+        front.listEngines("e1", "e2");
+        front.listEngines("e2");
+        front.request("a", "small");
+        front.request("b", "small");
+        assertEquals(List.of("send a e2", "send b e2"), front.newActions());
     }
 
     @Test
-    void placementHoldsEvenWhenAllAllowedEnginesAreGone() {
+    void keepsPlacementRuleWithoutAnAllowedEngine() {
         settings.machineTypes = List.of("large");
-        ScriptedFront s = new ScriptedFront(settings);
-        s.listEngines("e1", "e2");
-        s.request("a", "small");
-        s.advance(4 * SECOND_NANOS);
-        assertEquals(List.of("refuse a"), s.newActions());
+        ScriptedFront front = new ScriptedFront(settings);
+        front.listEngines("e1", "e2");
+        front.request("a", "small");
+        front.advance(4 * SECOND_NANOS);
+        assertEquals(List.of("refuse a"), front.newActions());
     }
 
     @Test
-    void requestsOfOneKeyRunInTurnAndRestAfterADoubtfulEnd() {
+    void runsRequestsOfOneKeyInTurnWithCooldownAfterUnknownResult() {
         settings.serialByKey = true;
         settings.retrySafety = RetrySafety.KEYED;
-        ScriptedFront s = new ScriptedFront(settings);
-        s.listEngines("e1", "e2");
-        s.requestWithKey("a", 7);
-        s.requestWithKey("b", 7);
-        s.requestWithKey("c", 8);
-        assertEquals(0, s.countActions("send b"));
-        assertEquals(1, s.countActions("send c"));
-        s.control.onAbandoned(s.now, "a");
-        assertEquals(0, s.countActions("send b"), "an attempt of the first is still out");
-        s.finish("a", 0, s.engineOf("a"), AttemptStatus.TIMEOUT, MILLI_NANOS);
-        s.advance(450 * MILLI_NANOS);
-        assertEquals(0, s.countActions("send b"), "the key rests");
-        s.advance(100 * MILLI_NANOS);
-        assertEquals(1, s.countActions("send b") + s.countActions("refuse b"));
+        ScriptedFront front = new ScriptedFront(settings);
+        front.listEngines("e1", "e2");
+        front.requestWithKey("a", 7);
+        front.requestWithKey("b", 7);
+        front.requestWithKey("c", 8);
+        assertEquals(0, front.countActions("send b"));
+        assertEquals(1, front.countActions("send c"));
+        front.control.onAbandoned(front.now, "a");
+        assertEquals(0, front.countActions("send b"), "an attempt of the first request is in flight");
+        front.finish("a", 0, front.engineOf("a"), AttemptStatus.TIMEOUT, MILLI_NANOS);
+        front.advance(450 * MILLI_NANOS);
+        assertEquals(0, front.countActions("send b"), "the key is in its cool-down");
+        front.advance(100 * MILLI_NANOS);
+        assertEquals(1, front.countActions("send b") + front.countActions("refuse b"));
     }
 
     @Test
-    void aRefusedHeadLetsTheNextOfItsKeyGo() {
+    void sendsNextRequestOfKeyAfterRefusal() {
         settings.serialByKey = true;
         settings.retrySafety = RetrySafety.KEYED;
-        ScriptedFront s = new ScriptedFront(settings);
-        s.listEngines();
-        s.requestWithKey("a", 7);
-        s.advance(2900 * MILLI_NANOS);
-        s.requestWithKey("b", 7);
-        s.advance(200 * MILLI_NANOS);
-        s.listEngines("e1");
-        s.advance(50 * MILLI_NANOS);
-        assertEquals(List.of("refuse a", "send b e1"), s.newActions());
+        ScriptedFront front = new ScriptedFront(settings);
+        front.listEngines();
+        front.requestWithKey("a", 7);
+        front.advance(2900 * MILLI_NANOS);
+        front.requestWithKey("b", 7);
+        front.advance(200 * MILLI_NANOS);
+        front.listEngines("e1");
+        front.advance(50 * MILLI_NANOS);
+        assertEquals(List.of("refuse a", "send b e1"), front.newActions());
     }
 
     @Test
-    void aColdEngineIsSentNoMoreThanItsShareInAnyWindow() {
+    void limitsWorkSentToColdEngineInAnyWindow() {
         settings.fronts = 2;
-        ScriptedFront s = new ScriptedFront(settings);
-        s.updateEngine(ScriptedFront.engine("e1", EngineStatus.READY, "plain", s.now));
+        ScriptedFront front = new ScriptedFront(settings);
+        front.updateEngine(ScriptedFront.engine("e1", EngineStatus.READY, "plain", front.now));
         for (int i = 0; i < 200; i++) {
-            s.request("a" + i, "big");
-            s.advance(5 * MILLI_NANOS);
+            front.request("a" + i, "big");
+            front.advance(5 * MILLI_NANOS);
         }
-        // Prior work of "big" is 0.5 x 3 s x 4 threads = 6 s; the engine can do 0.4 x 0.85 x 8 x 2 s = 5.4 s.
-        assertTrue(s.countActions("send") <= 1, "sent " + s.countActions("send"));
+        // The initial work of "big" is 0.5 x 3 s x 4 threads = 6 s; the engine can do 0.4 x 0.85 x 8 x 2 s = 5.4 s.
+        assertTrue(front.countActions("send") <= 1, "sent " + front.countActions("send"));
     }
 
     @Test
-    void aFrontThatHasJustStartedSparesEnginesThatStartedBeforeIt() {
-        ScriptedFront s = new ScriptedFront(settings);
-        s.updateEngine(ScriptedFront.engine("e1", EngineStatus.READY, "plain", s.now - SECOND_NANOS));
-        s.request("a", "small");
-        s.advance(1900 * MILLI_NANOS);
-        assertEquals(0, s.countActions("send"));
-        s.request("b", "small");
-        s.advance(200 * MILLI_NANOS);
-        assertEquals(1, s.countActions("send"));
+    void waitsOneWindowBeforeUsingColdEngineAfterOwnStart() {
+        ScriptedFront front = new ScriptedFront(settings);
+        front.updateEngine(ScriptedFront.engine("e1", EngineStatus.READY, "plain", front.now - SECOND_NANOS));
+        front.request("a", "small");
+        front.advance(1900 * MILLI_NANOS);
+        assertEquals(0, front.countActions("send"));
+        front.request("b", "small");
+        front.advance(200 * MILLI_NANOS);
+        assertEquals(1, front.countActions("send"));
     }
 
-    /** A request behind others of its key was once held until just before its client's time was up. */
+    /** Guards against a request that waits for others of its key being held until just before its deadline. */
     @Test
-    void aHopelessRequestBehindItsKeyIsAnsweredAtOnce() {
+    void refusesHopelessRequestThatWaitsForItsKeyAtOnce() {
         settings.serialByKey = true;
         settings.retrySafety = RetrySafety.UNSAFE;
-        ScriptedFront s = new ScriptedFront(settings);
-        s.listEngines("e1", "e2");
+        ScriptedFront front = new ScriptedFront(settings);
+        front.listEngines("e1", "e2");
         for (int i = 0; i < 40; i++) {
-            s.request("w" + i, "small");
-            s.finish("w" + i, 0, s.engineOf("w" + i), AttemptStatus.OK, 100 * MILLI_NANOS);
+            front.request("w" + i, "small");
+            front.finish("w" + i, 0, front.engineOf("w" + i), AttemptStatus.OK, 100 * MILLI_NANOS);
         }
-        s.requestWithKey("a", 7);
-        s.requestWithKey("b", 7);
-        s.advance(1500 * MILLI_NANOS);
-        assertEquals(0, s.countActions("send b"));
-        assertEquals(1, s.countActions("refuse b"), "its aim of 600 ms is past and a late answer earns nothing");
+        front.requestWithKey("a", 7);
+        front.requestWithKey("b", 7);
+        front.advance(1500 * MILLI_NANOS);
+        assertEquals(0, front.countActions("send b"));
+        assertEquals(1, front.countActions("refuse b"),
+                "its latency target of 600 ms has passed and a late answer earns nothing");
     }
 
     @Test
-    void anUnsafeRequestThatMayHaveRunEndsInAFailureHoweverItsAttemptEnded() {
+    void failsUnsafeRequestAfterAnyUncertainOutcome() {
         settings.retrySafety = RetrySafety.UNSAFE;
         settings.cancel = true;
-        for (AttemptStatus end : List.of(AttemptStatus.ERROR, AttemptStatus.TIMEOUT, AttemptStatus.RESET, AttemptStatus.CANCELLED)) {
-            ScriptedFront s = new ScriptedFront(settings);
-            s.listEngines("e1", "e2");
-            s.request("a", "small");
-            s.newActions();
-            s.finish("a", 0, s.engineOf("a"), end, 300 * MILLI_NANOS);
-            s.advance(4 * SECOND_NANOS);
-            assertEquals(List.of("fail a"), s.newActions(), end.toString());
+        for (AttemptStatus status : List.of(AttemptStatus.ERROR, AttemptStatus.TIMEOUT, AttemptStatus.RESET,
+                AttemptStatus.CANCELLED)) {
+            ScriptedFront front = new ScriptedFront(settings);
+            front.listEngines("e1", "e2");
+            front.request("a", "small");
+            front.newActions();
+            front.finish("a", 0, front.engineOf("a"), status, 300 * MILLI_NANOS);
+            front.advance(4 * SECOND_NANOS);
+            assertEquals(List.of("fail a"), front.newActions(), status.toString());
         }
     }
 
     @Test
-    void theRationHoldsAtTheEdgesOfItsWindow() {
+    void keepsRetryBudgetAtEdgesOfWindow() {
         settings.retryAllowance = 0;
         settings.retriesPerRequest = 0.5;
-        ScriptedFront s = new ScriptedFront(settings);
-        s.listEngines("e1", "e2", "e3");
-        s.request("a", "small");
-        s.request("b", "small");
-        s.advance(10 * SECOND_NANOS);
-        s.request("c", "small");
-        s.finish("c", 0, s.engineOf("c"), AttemptStatus.FULL, MILLI_NANOS);
-        assertEquals(1, s.countActions("send c"), "the first two lie on the window's edge and may not be counted");
+        ScriptedFront front = new ScriptedFront(settings);
+        front.listEngines("e1", "e2", "e3");
+        front.request("a", "small");
+        front.request("b", "small");
+        front.advance(10 * SECOND_NANOS);
+        front.request("c", "small");
+        front.finish("c", 0, front.engineOf("c"), AttemptStatus.FULL, MILLI_NANOS);
+        assertEquals(1, front.countActions("send c"), "the first two requests are at the edge of the window and may not count");
     }
 
-    /** A front that stood still finds requests, a drain and timers in one batch. */
+    /** A front that was stalled gets requests, a drain and timers in one batch. */
     @Test
-    void aStalledFrontsBurstKeepsDrainColdAndKeyRules() {
+    void keepsSafetyRulesInBurstAfterOwnStall() {
         settings.serialByKey = true;
         settings.retrySafety = RetrySafety.UNSAFE;
         settings.fronts = 2;
-        ScriptedFront s = new ScriptedFront(settings);
-        s.listEngines("e1", "e2");
-        s.requestWithKey("k0", 7);
-        s.now += 2 * SECOND_NANOS;
-        s.updateEngine(ScriptedFront.engine("e1", EngineStatus.DRAINING, "plain", 0));
-        s.updateEngine(ScriptedFront.engine("e2", EngineStatus.READY, "plain", s.now));
-        s.newActions();
-        s.requestWithKey("k1", 7);
+        ScriptedFront front = new ScriptedFront(settings);
+        front.listEngines("e1", "e2");
+        front.requestWithKey("k0", 7);
+        front.now += 2 * SECOND_NANOS;
+        front.updateEngine(ScriptedFront.engine("e1", EngineStatus.DRAINING, "plain", 0));
+        front.updateEngine(ScriptedFront.engine("e2", EngineStatus.READY, "plain", front.now));
+        front.newActions();
+        front.requestWithKey("k1", 7);
         for (int i = 0; i < 60; i++) {
-            s.request("a" + i, "small");
+            front.request("a" + i, "small");
         }
-        s.control.onTimer(s.now, 1);
-        List<String> sent = s.newActions();
+        front.control.onTimer(front.now, 1);
+        List<String> sent = front.newActions();
         sent.removeIf(a -> !a.startsWith("send"));
-        assertTrue(sent.stream().noneMatch(a -> a.endsWith(" e1")), "e1 drains");
-        assertEquals(0, s.countActions("send k1"), "an attempt of the first of its key is out");
-        // The small class counts 0.5 x 0.6 s; half of 0.8 x 0.4 x 8 x 2 s are 2.56 s: nine whole queries at most.
+        assertTrue(sent.stream().noneMatch(a -> a.endsWith(" e1")), "e1 is draining");
+        assertEquals(0, front.countActions("send k1"), "an attempt of the first request of its key is in flight");
+        // A small query counts 0.5 x 0.6 s; this front's half of 0.8 x 0.4 x 8 x 2 s is 2.56 s: at most nine queries.
         assertTrue(sent.size() <= 9, "sent to the cold engine: " + sent.size());
     }
 
-    /** Shown by its first sight alone, an engine may stay cold until the rules' last moment; a known start warms it. */
+    /** Without a known start time, an engine may stay cold for as long as the rules allow; with one it warms up. */
     @Test
-    void anEngineWhoseStartIsNotKnownIsTakenForColdUntilItMustBeWarm() {
+    void treatsEngineWithUnknownStartTimeAsCold() {
         long[] sent = new long[2];
-        for (int sure = 0; sure < 2; sure++) {
-            ScriptedFront.TestSettings settings = new ScriptedFront.TestSettings();
-            ScriptedFront script = new ScriptedFront(settings);
-            long start = script.now;
-            script.updateEngine(new Engine("e", EngineStatus.READY, "north", "plain", 0, 1, start, sure == 1));
-            // In one window near the end of the time to warm up, far more is asked than a cold engine may get.
-            script.now = start + 9 * ScriptedFront.SECOND_NANOS;
+        for (int startKnown = 0; startKnown < 2; startKnown++) {
+            TestSettings settings = new TestSettings();
+            ScriptedFront front = new ScriptedFront(settings);
+            long start = front.now;
+            front.updateEngine(new Engine("e", EngineStatus.READY, "north", "plain", 0, 1, start, startKnown == 1));
+            // In one window near the end of the warm-up time, far more is requested than a cold engine may get.
+            front.now = start + 9 * SECOND_NANOS;
             for (int i = 0; i < 100; i++) {
-                script.control.onRequest(script.now, new Request("q" + i, "small", "one", false, 0, 3 * ScriptedFront.SECOND_NANOS,
-                        500 * ScriptedFront.MILLI_NANOS, 0, -1, false));
+                front.control.onRequest(front.now, new Request("q" + i, "small", "one", false, 0, 3 * SECOND_NANOS,
+                        500 * MILLI_NANOS, 0, -1, false));
             }
-            sent[sure] = script.countActions("send");
+            sent[startKnown] = front.countActions("send");
         }
-        assertTrue(sent[0] > 0 && 3 * sent[0] <= 2 * sent[1], sent[0] + " to a doubtful one, " + sent[1] + " to the other");
+        assertTrue(sent[0] > 0 && 3 * sent[0] <= 2 * sent[1],
+                sent[0] + " with an unknown start time, " + sent[1] + " with a known one");
     }
 
-    /** A query too large for the part of one window goes alone: all fronts' together stay within the rule's half. */
+    /** A query too large for one window's share is sent alone; all fronts together stay within half the overload limit. */
     @Test
-    void aLargeQueryGoesToAColdEngineOnlyWhileNoMoreIsSentThanAllFrontsMay() {
-        ScriptedFront.TestSettings settings = new ScriptedFront.TestSettings();
+    void limitsLargeQueriesToColdEngineToShareOfAllFronts() {
+        TestSettings settings = new TestSettings();
         settings.coldCapacity = 0.8;
-        ScriptedFront script = new ScriptedFront(settings);
-        script.updateEngine(new Engine("e", EngineStatus.READY, "north", "plain", 0, 1, script.now, false));
-        double bound = 0.5 * 2 * 0.8 * 8 * 2;
+        ScriptedFront front = new ScriptedFront(settings);
+        front.updateEngine(new Engine("e", EngineStatus.READY, "north", "plain", 0, 1, front.now, false));
+        double maxWork = 0.5 * 2 * 0.8 * 8 * 2;
         for (int i = 0; i < 20; i++) {
-            script.control.onRequest(script.now, new Request("b" + i, "big", "one", false, 0, 15 * ScriptedFront.SECOND_NANOS,
-                    5 * ScriptedFront.SECOND_NANOS, 0, -1, false));
+            front.control.onRequest(front.now, new Request("b" + i, "big", "one", false, 0, 15 * SECOND_NANOS,
+                    5 * SECOND_NANOS, 0, -1, false));
         }
-        // Each counts as 6 s at least: what is usual for its class before any has been heard of.
-        assertTrue(script.countActions("send") >= 1 && script.countActions("send") * 6.0 <= bound, script.countActions("send") + " sent");
+        // Each counts as at least 6 s: the initial work of its class.
+        assertTrue(front.countActions("send") >= 1 && front.countActions("send") * 6.0 <= maxWork,
+                front.countActions("send") + " sent");
     }
 }
--- a/src/test/java/cairnline/control/WorkEstimatorTest.java
+++ b/src/test/java/cairnline/control/WorkEstimatorTest.java
@@ -6,41 +6,42 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
+/** The estimate of a query's work from the client's estimate and the work of earlier queries. */
 class WorkEstimatorTest {
-    private static final double USUAL = 400;
+    private static final double TYPICAL_WORK = 400;
 
-    /** Work and estimates both scatter, in logarithms, by these deviations. */
-    private static WorkEstimator learned(double workSpread, double error) {
+    /** Returns an estimator trained with work and errors of given standard deviations of their logarithms. */
+    private static WorkEstimator estimatorWithSpreads(double workSpread, double errorSpread) {
         WorkEstimator estimator = new WorkEstimator();
         SplittableRandom random = new SplittableRandom(5);
         for (int i = 0; i < 400; i++) {
-            double work = USUAL * Math.exp(workSpread * random.nextGaussian());
-            estimator.record(work * Math.exp(error * random.nextGaussian()), work);
+            double work = TYPICAL_WORK * Math.exp(workSpread * random.nextGaussian());
+            estimator.record(work * Math.exp(errorSpread * random.nextGaussian()), work);
         }
         return estimator;
     }
 
     @Test
-    void beforeAnyAnswerTheEstimateStands() {
+    void returnsEstimateBeforeAnyAnswer() {
         assertEquals(1234, new WorkEstimator().expectedWork(1234), 1e-9);
     }
 
-    /** A lookup told as twelve times the usual was refused for what it did not need. */
+    /** Guards against a query being refused because its estimate, twelve times the typical work, is mostly error. */
     @Test
-    void whereEstimatesScatterAsWidelyAsTheWorkALargeOneIsMostlyError() {
-        double times = learned(0.7, 0.8).expectedWork(12 * USUAL) / USUAL;
-        assertTrue(times > 2 && times < 5, "twelve times the usual is " + times);
+    void shrinksLargeEstimatesThatScatterWidely() {
+        double multiple = estimatorWithSpreads(0.7, 0.8).expectedWork(12 * TYPICAL_WORK) / TYPICAL_WORK;
+        assertTrue(multiple > 2 && multiple < 5, "expected multiple for an estimate of twelve times: " + multiple);
     }
 
     @Test
-    void estimatesThatHoldAreBelieved() {
-        WorkEstimator estimator = learned(0.7, 0.01);
-        assertEquals(12 * USUAL, estimator.expectedWork(12 * USUAL), 0.05 * 12 * USUAL);
-        assertEquals(USUAL / 5, estimator.expectedWork(USUAL / 5), 0.05 * USUAL / 5);
+    void keepsAccurateEstimates() {
+        WorkEstimator estimator = estimatorWithSpreads(0.7, 0.01);
+        assertEquals(12 * TYPICAL_WORK, estimator.expectedWork(12 * TYPICAL_WORK), 0.05 * 12 * TYPICAL_WORK);
+        assertEquals(TYPICAL_WORK / 5, estimator.expectedWork(TYPICAL_WORK / 5), 0.05 * TYPICAL_WORK / 5);
     }
 
     @Test
-    void estimatesThatLieTooLowByAClassAreRaised() {
+    void raisesEstimatesThatAreTooLow() {
         WorkEstimator estimator = new WorkEstimator();
         for (int i = 1; i <= 100; i++) {
             estimator.record(10 * i, 20 * i);
@@ -49,7 +50,7 @@
     }
 
     @Test
-    void theSameEstimateForAllSaysOnlyWhatIsUsual() {
+    void returnsTypicalWorkForConstantEstimate() {
         WorkEstimator estimator = new WorkEstimator();
         for (int i = 0; i < 100; i++) {
             estimator.record(50, i % 2 == 0 ? 100 : 400);
