--- a/src/main/java/cairnline/simhost/BatchProcessor.java
+++ b/src/main/java/cairnline/simhost/BatchProcessor.java
@@ -22,6 +22,7 @@
 /** Reads batches of events, delivers them to the decision modules they name and collects the modules' actions. */
 final class BatchProcessor {
     private static final long NANOS_PER_MILLI = 1_000_000;
+    /** The field trueCost holds the work in milliseconds times this base, plus the memory in units of 4 MB. */
     private static final int COST_FIELD_BASE = 4096;
     private static final int MEGABYTES_PER_COST_UNIT = 4;
     private static final int MAX_INVENTORIES = 16;
@@ -183,6 +184,7 @@
     }
 
     private Request readRequest() {
+        // Bit 0: planCostNs is valid; bit 1: the client has marked the request as a retry.
         long flags = in.integer("stateBits", 0);
         return new Request(in.text("msgId"), in.text("type"), in.text("customer", ""), in.has("object"),
                 in.integer("object", 0), in.integer("budgetNs"), (flags & 1) != 0 ? in.integer("planCostNs", 0) : 0,
--- a/src/test/java/cairnline/control/DecisionsTest.java
+++ b/src/test/java/cairnline/control/DecisionsTest.java
@@ -98,7 +98,10 @@
         assertTrue(!order.isEmpty());
     }
 
-    /** Guards against a priority that depends on a class's latency target instead of its work. */
+    /**
+     * Guards against a priority that depends on the latency target: a cheap class would miss it where its target exceeds a
+     * quarter of the most expensive class's.
+     */
     @Test
     void givesCheaperClassPriorityWhateverItsLatencyTarget() {
         settings.smallLatencyTarget = 3100 * MILLI_NANOS;
@@ -111,7 +114,7 @@
         assertTrue(front.actions.contains("options x 0 3"), front.actions.toString());
     }
 
-    /** Guards against loads that displace other classes although no class waits for them. */
+    /** Guards against loads displacing a class that does not wait for them, which then is served worst of all. */
     @Test
     void givesLoadsPriorityOnlyWhereOtherClassesWaitForThem() {
         for (boolean wait : new boolean[] {false, true}) {
--- a/src/test/java/cairnline/control/LargeFleetTest.java
+++ b/src/test/java/cairnline/control/LargeFleetTest.java
@@ -304,7 +304,7 @@
         }
     }
 
-    /** Guards against estimates that stay too low where answers do not report the memory needed: two thirds spilled. */
+    /** Guards against two thirds of all queries spilling where answers do not report the memory needed. */
     @Test
     void raisesMemoryGrantAfterSpills() {
         ScriptedFront front = new ScriptedFront(settings);
