--- a/src/main/java/cairnline/control/Control.java
+++ b/src/main/java/cairnline/control/Control.java
@@ -52,9 +52,10 @@
     private static final double UNREACHABLE_ODDS = 0.5;
     /** Share of the overload multiple that all fronts send a cold engine; two draws at once leave a fifth. */
     private static final double COLD_FILL = 0.4;
-    /** A query above the first share of a cold engine's capacity in a window waits until it is warmer,
-     * unless all sends of all fronts in the window, with it, are within the second share of the multiple. */
-    private static final double MAX_COLD_QUERY = 0.3, MAX_COLD_TOTAL = 0.5;
+    /** A query above this share of a cold engine's capacity in a window waits until the engine is warmer. */
+    private static final double MAX_COLD_QUERY = 0.3;
+    /** It need not wait if all sends of all fronts in the window are within this share of the multiple. */
+    private static final double MAX_COLD_TOTAL = 0.5;
     private static final int PRIORITY_LIGHT = 3, PRIORITY_TABLE_LOCK = 2, PRIORITY_DEFAULT = 1;
     /** Weight, in answers, of a delay projected from a status update: the reported progress is imprecise. */
     private static final double PROJECTION_WEIGHT = 0.5;
@@ -171,16 +172,16 @@
                 && now < query.uncertainAt + query.requestClass.settings.keyWindow() - KEY_MARGIN_NANOS;
     }
 
-    /** Protects a cold engine from overload: in each window a front sends at most its share of the engine's
-     * capacity, in whole queries. The last one fits with a probability drawn once per window, so that many
-     * fronts send their share on average, and stay below the overload multiple even if all use two draws
-     * at once. A front that has just started does not know what it sent before, and waits for one window. */
+    /** Protects a cold engine from overload: a front sends at most its share of the capacity per window. */
     private boolean coldEngineHasRoom(EngineEstimate engine, double work) {
+        // Only whole queries are sent; the last one fits with a probability drawn once per window. So many
+        // fronts send their share on average, and stay below the overload multiple even at two draws each.
         SafetyRules rules = settings.safetyRules();
         long age = now - engine.coldSince;
         if (engine.coldSince == 0 || age >= rules.warmUpTime()) {
             return true;
         }
+        // A front that has just started does not know what it sent before, and waits for one window.
         if (engine.coldSince < startedAt && now < startedAt + rules.overloadWindow()) {
             return false;
         }
@@ -448,9 +449,9 @@
         scheduleHeldCheck();
     }
 
-    /** Where a late answer earns nothing, an attempt times out when it would be late even if the query needed
-     * twice the estimated work. Could harm where queries cost far more, or where retries are not marked. */
+    /** If a late answer earns nothing, an attempt ends when even twice the estimated work would be late. */
     private long attemptTimeout(Query query) {
+        // Could harm where queries cost far more than estimated, or where retries are not marked.
         RequestClassSettings classSettings = query.requestClass.settings;
         boolean worthless = classSettings.retrySafety() == RetrySafety.SAFE && classSettings.lateWorth() <= 0;
         long left = 2 * query.latencyTargetAt - query.firstRequestedAt - classSettings.latencyTarget() - now;
@@ -514,9 +515,9 @@
         }
     }
 
-    /** An attempt without status updates, while this front was not stalled, has an unhealthy engine or a lost
-     * response; it is retried if its class allows it. Could harm where updates get lost, responses not. */
+    /** Retries an attempt without status updates: its engine is unhealthy or its response was lost. */
     private void cancelIfSilent(Attempt attempt) {
+        // A stall of this front does not count. Could harm where updates get lost but responses do not.
         double silence = now - Math.max(attempt.lastStatusAt, resumedAt);
         if (settings.statusInterval() > 0 && silence > SILENT_INTERVALS * settings.statusInterval()) {
             attempt.lastStatusAt = now;
@@ -638,9 +639,10 @@
         return mean == 0 ? value : mean * StrictMath.pow(value / mean, DELAY_SMOOTHING);
     }
 
-    /** The limit falls while light queries stay slow despite their priority on busy cores: engines are then
-     * past the load up to which throughput grows. Could harm if another cause slows them, hence MIN_LIMIT. */
+    /** Lowers the concurrency limit while light queries are slow despite their priority, else raises it. */
     private void adjustConcurrencyLimit(RequestClass requestClass) {
+        // Engines are then past the load up to which their throughput grows. Could harm where another cause
+        // slows light queries; hence MIN_LIMIT.
         if (isLight(requestClass)) {
             double step = LIMIT_STEP_PER_SECOND * Math.min(1, (double) (now - limitUpdatedAt) / SECOND_NANOS);
             limitUpdatedAt = now;
@@ -649,9 +651,9 @@
         }
     }
 
-    /** An error counts against its engine only once another engine has served the request: a request that no
-     * engine can serve is evidence against none. Could harm where all engines fail: then none stands out. */
+    /** Counts an error against its engine only once another engine has served the request. */
     private void updateHealth(Attempt attempt, AttemptStatus status) {
+        // A request that no engine can serve is no evidence. Could harm if all engines fail: none stands out.
         EngineEstimate engine = attempt.engine;
         Query query = attempt.query;
         if (status == AttemptStatus.ERROR) {
@@ -729,9 +731,9 @@
         }
     }
 
-    /** A query that spills for the first time soon after its start is sent again with the missing memory:
-     * little work is lost, and a spill costs its work several times over. Could harm if memory is short. */
+    /** Sends a query that spills for the first time soon after its start again, with the missing memory. */
     private void onSpill(Attempt attempt, double missing) {
+        // Little work is lost, and a spill costs the work several times over. Could harm if memory is short.
         Query query = attempt.query;
         if (attempt.memoryGrant > 0 && !attempt.spilled) {
             attempt.spilled = true;
@@ -743,9 +745,9 @@
         }
     }
 
-    /** A query that waits for a load is sent elsewhere, once: only there are its tables locked. One that may
-     * not be retried stays; its wait is not slowness. Could harm where all engines load the same tables. */
+    /** Sends a query that waits for a load elsewhere, once: its tables are locked only at that engine. */
     private void onWait(Attempt attempt, StatusKind kind, long elapsed) {
+        // What may not be retried stays; its wait is not slowness. Could harm if all engines load its tables.
         Query query = attempt.query;
         if (query.requestClass.settings.retrySafety() != RetrySafety.SAFE) {
             attempt.waiting = true;
@@ -764,10 +766,10 @@
         return attempt == null || !attempt.inFlight ? null : attempt;
     }
 
-    /** Cancels an attempt whose progress projects an end past the deadline, or a delay many times the
-     * predicted one: a bad plan, or an engine that slowed down. Could harm a query that is inherently
-     * long, so only the first attempt is compared with the prediction. */
+    /** Cancels an attempt projected to end past the deadline, or many times later than predicted. */
     private void cancelIfHopeless(Query query, Attempt attempt, double progress, double projectedDelay) {
+        // The query has a bad plan, or the engine slowed down. Could harm a query that is inherently long, so
+        // only the first attempt is compared with the prediction.
         boolean tooLate = attempt.sentAt + projectedDelay > query.deadline;
         boolean runaway = attempt.number == 0 && query.requestClass.settings.retrySafety() == RetrySafety.SAFE
                 && projectedDelay > RUNAWAY_FACTOR
