--- a/src/main/java/cairnline/control/EngineEstimate.java
+++ b/src/main/java/cairnline/control/EngineEstimate.java
@@ -15,8 +15,8 @@
     static final double MAX_LIMIT = 2.2;
     /** Share of memory granted at the concurrency limit; beyond it queries spill or all slow down. */
     static final double MEMORY_LIMIT = 0.9;
-    /** Utilization up to which it shows the number of threads; busier cores hide any number of them. */
-    private static final double MAX_TELLING_UTILIZATION = 0.85;
+    /** Utilization up to which it shows the number of threads; busier cores hide how many there are. */
+    private static final double INFORMATIVE_UTILIZATION = 0.85;
     /** Further threads per core assumed at full utilization: enough to exceed the concurrency limit. */
     private static final double SATURATED_THREADS_PER_CORE = 4;
     /** Share of its time for which a thread keeps a core busy; the rest is input and output. */
@@ -64,17 +64,17 @@
     void recordLoad(Load load, boolean full, long now) {
         double utilization = full ? 1 : Math.max(load.utilization() >= 0 ? load.utilization() : -1,
                 load.disk() >= 0 ? load.disk() : -1);
-        double excess = Math.max(0, utilization - MAX_TELLING_UTILIZATION) / (1 - MAX_TELLING_UTILIZATION);
+        double excess = Math.max(0, utilization - INFORMATIVE_UTILIZATION) / (1 - INFORMATIVE_UTILIZATION);
         double perQuery = (fleetLoad.meanThreads + INITIAL_THREADS) / (fleetLoad.meanAttempts + 1);
         double all = load.inflight() >= 0
                 ? load.inflight() * (threadsInFlight + perQuery) / (attemptsInFlight + 1)
-                : cores * (Math.min(MAX_TELLING_UTILIZATION, utilization) / CPU_TIME_SHARE
+                : cores * (Math.min(INFORMATIVE_UTILIZATION, utilization) / CPU_TIME_SHARE
                 + excess * SATURATED_THREADS_PER_CORE);
         if (all < 0) {
             return;
         }
         double byMemory = load.memory() > 0 ? load.memory() / MEMORY_LIMIT * MAX_LIMIT * cores : 0;
-        if (load.inflight() >= 0 || utilization < MAX_TELLING_UTILIZATION) {
+        if (load.inflight() >= 0 || utilization < INFORMATIVE_UTILIZATION) {
             fleetLoad.recordReport(threadsInFlight, Math.max(byMemory, Math.max(all, threadsInFlight)), cores,
                     now);
             if (threadsInFlight > 0) {
--- a/src/test/java/cairnline/control/DecisionsTest.java
+++ b/src/test/java/cairnline/control/DecisionsTest.java
@@ -280,9 +280,9 @@
         for (int i = 0; i < 20; i++) {
             String id = "a" + i;
             front.request(id, "small");
-            front.request("second-" + id, "small");
+            front.request("also" + id, "small");
             front.advance(50 * MILLI_NANOS);
-            for (String each : List.of(id, "second-" + id)) {
+            for (String each : List.of(id, "also" + id)) {
                 String engine = front.engineOf(each);
                 Load load = i == 19 && engine.equals(first) ? busy : idle;
                 front.control.onOutcome(front.now,
@@ -301,9 +301,9 @@
         front.listEngines("e1");
         front.request("a", "small");
         assertThrows(IllegalArgumentException.class, () -> front.request("a", "small"));
-        assertThrows(IllegalArgumentException.class, () -> front.request("b", "unknown"));
+        assertThrows(IllegalArgumentException.class, () -> front.request("b", "unheard of"));
         front.finish("a", 5, "e1", AttemptStatus.OK, MILLI_NANOS);
-        front.finish("unknown", 0, "e1", AttemptStatus.OK, MILLI_NANOS);
+        front.finish("nobody", 0, "e1", AttemptStatus.OK, MILLI_NANOS);
         front.now -= SECOND_NANOS;
         assertThrows(IllegalArgumentException.class, () -> front.request("c", "small"));
     }
