--- a/src/main/java/cairnline/membership/ListedEngine.java
+++ b/src/main/java/cairnline/membership/ListedEngine.java
@@ -1,6 +1,6 @@
 package cairnline.membership;
 
-import cairnline.control.ControlApi.Listed;
+import cairnline.control.ControlApi.EngineStatus;
 
 /**
  * An engine as the engine list describes it.
@@ -16,10 +16,10 @@
  * @param startTimeKnown false if {@code startedAt} is only when the engine was first observed: it may be as cold as one
  *     that started then
  */
-public record ListedEngine(String id, String address, Listed status, String zone, String kind, int cell, double size,
+public record ListedEngine(String id, String address, EngineStatus status, String zone, String kind, int cell, double size,
                            long startedAt, boolean startTimeKnown) {
     /** Creates an engine whose start time is known. */
-    public ListedEngine(String id, String address, Listed status, String zone, String kind, int cell, double size,
+    public ListedEngine(String id, String address, EngineStatus status, String zone, String kind, int cell, double size,
                         long startedAt) {
         this(id, address, status, zone, kind, cell, size, startedAt, true);
     }
@@ -30,7 +30,7 @@
     }
 
     /** Returns a copy with another status. */
-    public ListedEngine withStatus(Listed newStatus) {
+    public ListedEngine withStatus(EngineStatus newStatus) {
         return new ListedEngine(id, address, newStatus, zone, kind, cell, size, startedAt, startTimeKnown);
     }
 }
--- a/src/main/java/cairnline/membership/Member.java
+++ b/src/main/java/cairnline/membership/Member.java
@@ -1,6 +1,6 @@
 package cairnline.membership;
 
-import cairnline.control.ControlApi.Listed;
+import cairnline.control.ControlApi.EngineStatus;
 
 /**
  * The belief about one listed engine and the reasons for it. Immutable, so that a view of all members can be handed to
@@ -54,7 +54,7 @@
     }
 
     Member asRemoved() {
-        return new Member(engine.withStatus(Listed.GONE), State.REMOVED, trust, reportedAt, aliveAt, 0, latestEvidence);
+        return new Member(engine.withStatus(EngineStatus.REMOVED), State.REMOVED, trust, reportedAt, aliveAt, 0, latestEvidence);
     }
 
     StoredEngine toStoredEngine() {
@@ -67,8 +67,8 @@
      * module's slow start applies to it.
      */
     ListedEngine toOffer() {
-        boolean isOffered = engine.status() == Listed.READY && state.isOffered();
-        Listed status = engine.status() == Listed.READY && !isOffered ? Listed.DRAINING : engine.status();
+        boolean isOffered = engine.status() == EngineStatus.READY && state.isOffered();
+        EngineStatus status = engine.status() == EngineStatus.READY && !isOffered ? EngineStatus.DRAINING : engine.status();
         long startedAt = state == State.ALIVE || state == State.WARM ? Math.max(aliveSince, engine.startedAt())
                 : engine.startedAt();
         return new ListedEngine(engine.id(), engine.address(), status, engine.zone(), engine.kind(), engine.cell(),
--- a/src/main/java/cairnline/membership/Membership.java
+++ b/src/main/java/cairnline/membership/Membership.java
@@ -1,6 +1,6 @@
 package cairnline.membership;
 
-import cairnline.control.ControlApi.Listed;
+import cairnline.control.ControlApi.EngineStatus;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -69,9 +69,9 @@
         }
         for (ListedEngine entry : entries) {
             Member before = members.get(entry.id());
-            urgentChange |= entry.status() != Listed.READY && before != null
-                    && before.engine().status() == Listed.READY;
-            if (entry.status() == Listed.GONE) {
+            urgentChange |= entry.status() != EngineStatus.READY && before != null
+                    && before.engine().status() == EngineStatus.READY;
+            if (entry.status() == EngineStatus.REMOVED) {
                 remove(entry.id());
             } else {
                 put(Member.ofReported(entry, now, before), now);
@@ -86,7 +86,7 @@
             return;
         }
         Set<String> addresses = new HashSet<>();
-        entries.stream().filter(entry -> entry.status() != Listed.GONE).forEach(entry -> addresses.add(entry.address()));
+        entries.stream().filter(entry -> entry.status() != EngineStatus.REMOVED).forEach(entry -> addresses.add(entry.address()));
         for (Member member : List.copyOf(members.values())) {
             if (member.state().isUnconfirmed() && !reportedIds.contains(member.engine().id())
                     && addresses.contains(member.engine().address())) {
--- a/src/main/java/cairnline/membership/State.java
+++ b/src/main/java/cairnline/membership/State.java
@@ -1,6 +1,6 @@
 package cairnline.membership;
 
-import cairnline.control.ControlApi.Listed;
+import cairnline.control.ControlApi.EngineStatus;
 
 /**
  * The believed state of a listed engine. All state transitions are defined here; docs/membership.md has the diagram.
@@ -41,11 +41,11 @@
     }
 
     /** Returns the state after the feed has reported this status; the state before does not matter. */
-    static State ofReported(Listed status) {
+    static State ofReported(EngineStatus status) {
         return switch (status) {
             case READY -> CONFIRMED;
             case DRAINING -> DRAINING;
-            case GONE -> REMOVED;
+            case REMOVED -> REMOVED;
         };
     }
 
--- a/src/main/java/cairnline/program/Configuration.java
+++ b/src/main/java/cairnline/program/Configuration.java
@@ -1,7 +1,7 @@
 package cairnline.program;
 
-import cairnline.control.ControlApi.Effect;
-import cairnline.control.ControlApi.Rules;
+import cairnline.control.ControlApi.RetrySafety;
+import cairnline.control.ControlApi.SafetyRules;
 import cairnline.control.ControlApi.Settings;
 import cairnline.protocol.FeedEvent;
 import cairnline.protocol.Json;
@@ -63,7 +63,7 @@
         initialEvents = parseEvents(known);
         Fields fields = Fields.of(flatten(object(root, "settings")));
         settings = readSettings(fields);
-        long longestDeadline = settings.types().stream()
+        long longestDeadline = settings.requestClasses().stream()
                 .mapToLong(requestClass -> requestClass.deadline()).max().orElse(0);
         limits = deriveLimits(root, fields, longestDeadline / NANOS_PER_MICRO);
     }
@@ -128,7 +128,7 @@
     /** Returns the client timeout of each class in microseconds. */
     Map<String, Long> clientTimeouts() {
         Map<String, Long> timeouts = new HashMap<>();
-        settings.types().forEach(requestClass ->
+        settings.requestClasses().forEach(requestClass ->
                 timeouts.put(requestClass.name(), requestClass.deadline() / NANOS_PER_MICRO));
         return timeouts;
     }
@@ -136,8 +136,8 @@
     /** Returns which fields the requests of each class must carry. */
     Map<String, ClassRequirements> requestClasses() {
         Map<String, ClassRequirements> classes = new HashMap<>();
-        settings.types().forEach(requestClass -> classes.put(requestClass.name(),
-                new ClassRequirements(requestClass.effect() == Effect.KEYED, requestClass.serial())));
+        settings.requestClasses().forEach(requestClass -> classes.put(requestClass.name(),
+                new ClassRequirements(requestClass.retrySafety() == RetrySafety.KEYED, requestClass.serialByKey())));
         return classes;
     }
 
@@ -216,17 +216,17 @@
      * deadline.
      */
     private static Settings withKeyCooldownSlack(Settings settings) {
-        Rules rules = settings.rules();
-        if (rules.keyRest() == 0) {
+        SafetyRules rules = settings.safetyRules();
+        if (rules.keyCooldown() == 0) {
             return settings;
         }
-        Rules extended = new Rules(rules.drainGrace(), rules.coldFrom(), rules.warmWithin(), rules.tipMultiple(),
-                rules.overloadFor(), rules.keyRest() + KEY_COOLDOWN_SLACK_NANOS, rules.spareAttempts(),
-                rules.extraPerRequest(), rules.lookBack());
-        return new Settings(settings.self(), settings.fronts(), settings.zone(), settings.types(), settings.tenants(),
-                settings.kinds(), settings.permissions(), extended, settings.overShareWorth(),
-                settings.grantCap(), settings.follow(), settings.notePeriod(),
-                settings.marksRepeats(), settings.probePrice());
+        SafetyRules extended = new SafetyRules(rules.drainGrace(), rules.coldCapacity(), rules.warmUpTime(), rules.overloadMultiple(),
+                rules.overloadWindow(), rules.keyCooldown() + KEY_COOLDOWN_SLACK_NANOS, rules.retryAllowance(),
+                rules.retriesPerRequest(), rules.retryWindow());
+        return new Settings(settings.frontIndex(), settings.frontCount(), settings.zone(), settings.requestClasses(), settings.tenants(),
+                settings.machineTypes(), settings.permissions(), extended, settings.overShareWorth(),
+                settings.memoryGrantCap(), settings.subscriptionRequired(), settings.statusInterval(),
+                settings.clientsMarkRetries(), settings.probeCost());
     }
 
     /** Maps nested values to dotted paths, the form in which the simulator's first message carries them. */
@@ -277,7 +277,7 @@
      * in every period; where they send none, silence says nothing about them and the limit is an hour.
      */
     private static long engineSilenceTimeout(Fields fields) {
-        long period = fields.whole("specifics.notePeriodNs", 0) / NANOS_PER_MICRO;
+        long period = fields.integer("specifics.notePeriodNs", 0) / NANOS_PER_MICRO;
         return period == 0 ? Clock.ofMillis(3_600_000) : period * 5 / 2 + Clock.ofMillis(200);
     }
 
@@ -293,19 +293,19 @@
         if (sockets < MIN_SOCKETS) {
             throw new ConfigurationException("limits.sockets", "is less than " + MIN_SOCKETS);
         }
-        long connectTimeout = fields.whole("permissions.connectTimeoutNs", 250_000_000) / NANOS_PER_MICRO;
-        long idleClose = fields.whole("permissions.idleCloseNs", 30_000_000_000L) / NANOS_PER_MICRO;
-        long drainGrace = fields.whole("safety.drainGraceNs", 1_000_000_000) / NANOS_PER_MICRO;
+        long connectTimeout = fields.integer("permissions.connectTimeoutNs", 250_000_000) / NANOS_PER_MICRO;
+        long idleClose = fields.integer("permissions.idleCloseNs", 30_000_000_000L) / NANOS_PER_MICRO;
+        long drainGrace = fields.integer("safety.drainGraceNs", 1_000_000_000) / NANOS_PER_MICRO;
         long answerMargin = Clock.ofMillis(50);
         Limits.Routing routing = new Limits.Routing(4_096, 512 * 1_024,
-                (int) Math.min(4_096, fields.whole("permissions.maxOpen", 4_096)), answerMargin, drainGrace / 2,
+                (int) Math.min(4_096, fields.integer("permissions.maxOpen", 4_096)), answerMargin, drainGrace / 2,
                 Clock.ofMillis(1_000));
         Limits.Connections connections = new Limits.Connections(256, Clock.ofMillis(500), 65_536, Clock.ofMillis(20_000),
                 connectTimeout);
         Limits.Clients clients = new Limits.Clients(clientConnections(sockets), 32, 8 << 20, Clock.ofMillis(4_500),
                 Clock.ofMillis(250), Clock.ofMillis(2_000), Clock.ofMillis(2_500), 262_144);
         Limits.Engines engines = new Limits.Engines(idleClose * 2 / 3, 8, engineConnections(sockets),
-                (int) fields.whole("permissions.streamsPerConn", 100), 4, engineSilenceTimeout(fields), Clock.ofMillis(500),
+                (int) fields.integer("permissions.streamsPerConn", 100), 4, engineSilenceTimeout(fields), Clock.ofMillis(500),
                 8_192, 6_000, 64, 48_000);
         Limits.Feed feed = new Limits.Feed(Clock.ofMillis(1_000), Clock.ofMillis(200), Clock.ofMillis(2_300),
                 Clock.ofMillis(250), 4 << 20);
--- a/src/main/java/cairnline/program/ODataConfiguration.java
+++ b/src/main/java/cairnline/program/ODataConfiguration.java
@@ -1,9 +1,9 @@
 package cairnline.program;
 
-import cairnline.control.ControlApi.Effect;
-import cairnline.control.ControlApi.Listed;
+import cairnline.control.ControlApi.RetrySafety;
+import cairnline.control.ControlApi.EngineStatus;
 import cairnline.control.ControlApi.Settings;
-import cairnline.control.ControlApi.Type;
+import cairnline.control.ControlApi.RequestClassSettings;
 import cairnline.protocol.Json;
 import cairnline.protocol.ODataModel;
 import cairnline.protocol.ODataModel.EntitySet;
@@ -47,18 +47,18 @@
 
     private static List<ListedEngine> parseEngines(Map<String, Object> root, Settings settings) {
         List<ListedEngine> engines = new ArrayList<>();
-        String defaultMachineType = settings.kinds().keySet().stream().findFirst().orElse("");
+        String defaultMachineType = settings.machineTypes().keySet().stream().findFirst().orElse("");
         for (Object entry : Json.asList(root.getOrDefault("engines", List.of()), "engines")) {
             Map<String, Object> engine = Json.asObject(entry, "engines");
             String address = text(engine, "odata.engines.address", "address");
             Configuration.parseAddress("odata.engines.address", address);
             String machineType = engine.containsKey("kind") ? text(engine, "odata.engines.kind", "kind")
                     : defaultMachineType;
-            if (!settings.kinds().containsKey(machineType)) {
+            if (!settings.machineTypes().containsKey(machineType)) {
                 throw new ConfigurationException("odata.engines.kind",
                         "is not one of the machine types (shapes) in the settings: " + machineType);
             }
-            engines.add(new ListedEngine(text(engine, "odata.engines.id", "id"), address, Listed.READY,
+            engines.add(new ListedEngine(text(engine, "odata.engines.id", "id"), address, EngineStatus.READY,
                     settings.zone(), machineType, 0, 1, 0));
         }
         return engines;
@@ -103,10 +103,10 @@
             return null;
         }
         String name = text(set, path + "." + member, member);
-        Type requestClass = settings.types().stream().filter(candidate -> candidate.name().equals(name)).findFirst()
+        RequestClassSettings requestClass = settings.requestClasses().stream().filter(candidate -> candidate.name().equals(name)).findFirst()
                 .orElseThrow(() -> new ConfigurationException(path + "." + member,
                         "is not one of the request classes in the settings: " + name));
-        if (requestClass.effect() != (write ? Effect.KEYED : Effect.SAFE)) {
+        if (requestClass.retrySafety() != (write ? RetrySafety.KEYED : RetrySafety.SAFE)) {
             throw new ConfigurationException(path + "." + member, write ? "is not a class with an idempotency key: " + name
                     : "is not a class that is safe to retry: " + name);
         }
--- a/src/main/java/cairnline/program/ServeSettings.java
+++ b/src/main/java/cairnline/program/ServeSettings.java
@@ -26,7 +26,7 @@
     /** Reads the file, or returns the defaults if it is null; throws SettingsException with all problems of the file. */
     static ServeSettings read(Path file, boolean odataRequired, Configuration configuration) {
         Resolved in = file == null ? null : SettingsFile.read(file);
-        long warmUpMicros = configuration.settings().rules().warmWithin() / NANOS_PER_MICRO;
+        long warmUpMicros = configuration.settings().safetyRules().warmUpTime() / NANOS_PER_MICRO;
         if (in == null) {
             return new ServeSettings(null, false, null, null, StoreSettings.defaults(), TrustSettings.defaults(warmUpMicros),
                     EventLog.Format.TEXT, DEFAULT_LOG_QUEUE_EVENTS, false);
--- a/src/main/java/cairnline/routing/Attempt.java
+++ b/src/main/java/cairnline/routing/Attempt.java
@@ -1,6 +1,6 @@
 package cairnline.routing;
 
-import cairnline.control.ControlApi.End;
+import cairnline.control.ControlApi.AttemptStatus;
 
 /**
  * One attempt to serve a request on one engine. Attempts are compared by identity, so that a late answer to one is never
@@ -32,11 +32,11 @@
      * @param work the work that the engine reported, in microseconds; 0 if it reported none
      * @param memory the memory that the engine reported, in megabytes; 0 if it reported none
      */
-    public record Result(End status, byte[] rows, long work, double memory) {
+    public record Result(AttemptStatus status, byte[] rows, long work, double memory) {
         private static final byte[] NO_ROWS = {};
 
         /** Returns a result without rows. */
-        public static Result of(End status) {
+        public static Result of(AttemptStatus status) {
             return new Result(status, NO_ROWS, 0, 0);
         }
     }
--- a/src/main/java/cairnline/routing/Dispatcher.java
+++ b/src/main/java/cairnline/routing/Dispatcher.java
@@ -3,10 +3,10 @@
 import cairnline.control.Control;
 import cairnline.control.ControlApi;
 import cairnline.control.ControlApi.Actions;
-import cairnline.control.ControlApi.End;
+import cairnline.control.ControlApi.AttemptStatus;
 import cairnline.control.ControlApi.Load;
-import cairnline.control.ControlApi.Note;
-import cairnline.control.ControlApi.NoteKind;
+import cairnline.control.ControlApi.StatusUpdate;
+import cairnline.control.ControlApi.StatusKind;
 import cairnline.control.ControlApi.Outcome;
 import cairnline.control.ControlApi.Settings;
 import cairnline.membership.EngineListStore;
@@ -71,7 +71,7 @@
     public Dispatcher(Settings settings, long seed, Limits limits, Clock clock, Consumer<String> log,
                       BiFunction<ListedEngine, Dispatcher, EngineLink> linkFactory) {
         this(settings, seed, limits, clock, log, linkFactory,
-                TrustSettings.defaults(Clock.fromModuleNanos(settings.rules().warmWithin())), EngineListStore.NONE,
+                TrustSettings.defaults(Clock.fromModuleNanos(settings.safetyRules().warmUpTime())), EngineListStore.NONE,
                 RequestTrace.OFF);
     }
 
@@ -155,12 +155,12 @@
     }
 
     /** Reports a status update of an attempt in flight. */
-    public void statusReceived(Attempt attempt, NoteKind kind, double amount) {
+    public void statusReceived(Attempt attempt, StatusKind kind, double amount) {
         actor.put(() -> {
             InFlight inFlight = attemptsInFlight.get(attempt);
             if (inFlight != null) {
-                callModule(() -> control.note(moduleNow(),
-                        new Note(inFlight.request.id, attempt.number(), attempt.engine(), kind, amount)));
+                callModule(() -> control.onStatusUpdate(moduleNow(),
+                        new StatusUpdate(inFlight.request.id, attempt.number(), attempt.engine(), kind, amount)));
             }
         });
     }
@@ -273,7 +273,7 @@
         trace.step("taken", request, "", now, request.type());
         timers.schedule(deadline + limits.routing().answerMargin() / 2, () -> answerOverdue(open));
         boolean isOrdered = request.orderingKey() != null;
-        callModule(() -> control.request(moduleNow(), new ControlApi.Request(open.id, request.type(), "", isOrdered,
+        callModule(() -> control.onRequest(moduleNow(), new ControlApi.Request(open.id, request.type(), "", isOrdered,
                 isOrdered ? request.orderingKey() : 0, Clock.toModuleNanos(Math.max(1, deadline - now)),
                 Clock.toModuleNanos(request.work()), request.memory(), request.tableGroup(), false)));
     }
@@ -284,11 +284,11 @@
             return;
         }
         close(open);
-        callModule(() -> control.abandoned(moduleNow(), open.id));
+        callModule(() -> control.onAbandoned(moduleNow(), open.id));
         if (open.detached && settings.permissions().cancel()) {
             // The detach was already reported to the module as abandoned, when attempts in flight might still have been
             // answered; so the module does not cancel them now.
-            List.copyOf(open.inFlight).forEach(attempt -> timers.schedule(now, () -> giveUp(attempt, End.CANCELLED)));
+            List.copyOf(open.inFlight).forEach(attempt -> timers.schedule(now, () -> giveUp(attempt, AttemptStatus.CANCELLED)));
         }
     }
 
@@ -301,14 +301,14 @@
         if (open.inFlight.isEmpty()) {
             answer(open, open.unserved("its client sends no more", limits.routing().retryAfter()));
         }
-        callModule(() -> control.abandoned(moduleNow(), open.id));
+        callModule(() -> control.onAbandoned(moduleNow(), open.id));
     }
 
     /** Answers all open requests at the end of a shutdown, since the process may be killed soon. */
     private void answerAll() {
         for (OpenRequest open : List.copyOf(unanswered.values())) {
             answer(open, open.unserved(STOPPING_REASON, limits.routing().retryAfter()));
-            callModule(() -> control.abandoned(moduleNow(), open.id));
+            callModule(() -> control.onAbandoned(moduleNow(), open.id));
         }
     }
 
@@ -316,7 +316,7 @@
     private void answerOverdue(OpenRequest open) {
         if (!open.answered) {
             answer(open, Answer.failed("no answer in time", true));
-            callModule(() -> control.abandoned(moduleNow(), open.id));
+            callModule(() -> control.onAbandoned(moduleNow(), open.id));
         }
     }
 
@@ -357,11 +357,11 @@
         if (finished.engine != null) {
             engines.attemptEnded(finished.engine);
         }
-        if (result.status() == End.OK || result.status() == End.FULL
-                || result.status() == End.ERROR) {
+        if (result.status() == AttemptStatus.OK || result.status() == AttemptStatus.FULL
+                || result.status() == AttemptStatus.ERROR) {
             applyEvidence(attempt.engine(), Evidence.REQUEST_SERVED);
         }
-        if (result.status() == End.OK) {
+        if (result.status() == AttemptStatus.OK) {
             answer(open, Answer.served(result.rows()));
         }
         if (open.detached && open.inFlight.isEmpty()) {
@@ -370,7 +370,7 @@
         }
         boolean isLast = open.answered;
         removeIfComplete(open);
-        callModule(() -> control.outcome(moduleNow(), new Outcome(open.id, attempt.number(), attempt.engine(), result.status(),
+        callModule(() -> control.onOutcome(moduleNow(), new Outcome(open.id, attempt.number(), attempt.engine(), result.status(),
                 Clock.toModuleNanos(now - attempt.sentAt()), isLast, Clock.toModuleNanos(result.work()), result.memory(),
                 Load.NONE)));
     }
@@ -379,7 +379,7 @@
      * Ends an attempt from this side. The engine has to be asked to cancel it: until then the attempt may still run, and a
      * load that follows with the same ordering key would break the order.
      */
-    private void giveUp(Attempt attempt, End status) {
+    private void giveUp(Attempt attempt, AttemptStatus status) {
         InFlight inFlight = attemptsInFlight.get(attempt);
         if (inFlight != null) {
             inFlight.engine.link().giveUp(attempt);
@@ -404,11 +404,11 @@
         attemptsInFlight.put(attempt, new InFlight(open, engine));
         trace.step("sent", open.request, engineId, now, Integer.toString(attempt.number()));
         if (open.answered || open.detached || engine == null || attemptDeadline <= now) {
-            timers.schedule(now, () -> finishAttempt(attempt, Attempt.Result.of(End.NOT_SENT)));
+            timers.schedule(now, () -> finishAttempt(attempt, Attempt.Result.of(AttemptStatus.NOT_SENT)));
         } else if (engine.link().send(attempt)) {
-            timers.schedule(attemptDeadline, () -> giveUp(attempt, End.TIMEOUT));
+            timers.schedule(attemptDeadline, () -> giveUp(attempt, AttemptStatus.TIMEOUT));
         } else {
-            timers.schedule(now, () -> finishAttempt(attempt, Attempt.Result.of(End.FULL)));
+            timers.schedule(now, () -> finishAttempt(attempt, Attempt.Result.of(AttemptStatus.FULL)));
         }
     }
 
@@ -421,11 +421,11 @@
             return;
         }
         Attempt attempt = open.attempts.get(number);
-        timers.schedule(now, () -> giveUp(attempt, End.CANCELLED));
+        timers.schedule(now, () -> giveUp(attempt, AttemptStatus.CANCELLED));
     }
 
     @Override
-    public void terms(String id, double memory, int priority) {
+    public void setAttemptOptions(String id, double memory, int priority) {
         OpenRequest open = requestsById.get(id);
         if (open == null || open.priority == priority) {
             return;
@@ -457,8 +457,8 @@
     }
 
     @Override
-    public void wake(long delay, long handle) {
-        timers.schedule(now + Clock.fromModuleNanos(delay), () -> callModule(() -> control.timer(moduleNow(), handle)));
+    public void setTimer(long delay, long handle) {
+        timers.schedule(now + Clock.fromModuleNanos(delay), () -> callModule(() -> control.onTimer(moduleNow(), handle)));
     }
 
     @Override
@@ -480,17 +480,17 @@
         } else {
             membership.probeFailed(now, engineId);
         }
-        callModule(() -> control.probed(moduleNow(), engineId, report != null, Clock.toModuleNanos(now - sentAt),
+        callModule(() -> control.onProbeResult(moduleNow(), engineId, report != null, Clock.toModuleNanos(now - sentAt),
                 LoadReport.of(report)));
     }
 
     @Override
-    public void tell(byte[] message) {
+    public void broadcast(byte[] message) {
         // The platform's protocol has no messages between workload managers, and the settings forbid them to the module.
     }
 
     @Override
-    public void follow() {
+    public void subscribe() {
         // The control feed is subscribed to from the start.
     }
 
@@ -521,7 +521,7 @@
 
     /** Passes the offers for these engines to the decision module. */
     private void offer(boolean complete, List<ListedEngine> entries) {
-        callModule(() -> control.engines(moduleNow(), complete,
+        callModule(() -> control.onEngineList(moduleNow(), complete,
                 entries.stream().map(membership::offerFor).map(Clock::toModuleEngine).toList()));
         hasEngineList = true;
         ready = firstFeedReadDone && !stopping;
@@ -564,7 +564,7 @@
         for (OpenRequest open : List.copyOf(unanswered.values())) {
             if (open.attempts.isEmpty()) {
                 answer(open, Answer.refused(NO_ENGINE_REASON, retryAfter));
-                callModule(() -> control.abandoned(moduleNow(), open.id));
+                callModule(() -> control.onAbandoned(moduleNow(), open.id));
             }
         }
     }
--- a/src/main/java/cairnline/routing/EngineRegistry.java
+++ b/src/main/java/cairnline/routing/EngineRegistry.java
@@ -1,6 +1,6 @@
 package cairnline.routing;
 
-import cairnline.control.ControlApi.Listed;
+import cairnline.control.ControlApi.EngineStatus;
 import cairnline.membership.ListedEngine;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -58,7 +58,7 @@
             engines.forEach(engine -> ids.add(engine.id()));
             for (Entry entry : List.copyOf(entries.values())) {
                 if (!ids.contains(entry.engine.id())) {
-                    apply(now, entry, entry.engine.withStatus(Listed.GONE));
+                    apply(now, entry, entry.engine.withStatus(EngineStatus.REMOVED));
                 }
             }
         }
@@ -81,7 +81,7 @@
         }
         if (known != null) {
             apply(now, known, engine);
-        } else if (engine.status() != Listed.GONE) {
+        } else if (engine.status() != EngineStatus.REMOVED) {
             Entry entry = new Entry(engine, linkFactory.apply(engine));
             entries.put(engine.id(), entry);
             apply(now, entry, engine);
@@ -89,12 +89,12 @@
     }
 
     private void apply(long now, Entry entry, ListedEngine engine) {
-        boolean wasReady = entry.engine.status() == Listed.READY;
+        boolean wasReady = entry.engine.status() == EngineStatus.READY;
         if (engine.startedAt() > entry.engine.startedAt()) {
             entry.link.resetConnections();
         }
         entry.engine = engine;
-        if (engine.status() == Listed.READY) {
+        if (engine.status() == EngineStatus.READY) {
             entry.link.stopSendingAfter(Long.MAX_VALUE);
         } else if (wasReady) {
             entry.link.stopSendingAfter(now + drainGrace);
@@ -103,7 +103,7 @@
     }
 
     private void closeIfRemoved(Entry entry) {
-        if (entry.engine.status() == Listed.GONE && entry.attemptsInFlight == 0
+        if (entry.engine.status() == EngineStatus.REMOVED && entry.attemptsInFlight == 0
                 && entries.remove(entry.engine.id(), entry)) {
             entry.link.close();
         }
--- a/src/main/java/cairnline/routing/OpenRequest.java
+++ b/src/main/java/cairnline/routing/OpenRequest.java
@@ -1,6 +1,6 @@
 package cairnline.routing;
 
-import cairnline.control.ControlApi.End;
+import cairnline.control.ControlApi.AttemptStatus;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -31,10 +31,10 @@
     }
 
     /** Records the end of an attempt. */
-    void attemptEnded(Attempt attempt, End status) {
+    void attemptEnded(Attempt attempt, AttemptStatus status) {
         inFlight.remove(attempt);
-        timedOut |= status == End.TIMEOUT;
-        mayHaveRun |= status != End.NOT_SENT && status != End.FULL && status != End.CONNECT_FAILED;
+        timedOut |= status == AttemptStatus.TIMEOUT;
+        mayHaveRun |= status != AttemptStatus.NOT_SENT && status != AttemptStatus.FULL && status != AttemptStatus.CONNECT_FAILED;
     }
 
     /** Whether an attempt has timed out. */
--- a/src/main/java/cairnline/simhost/Replies.java
+++ b/src/main/java/cairnline/simhost/ActionWriter.java
@@ -4,18 +4,18 @@
 
 import java.util.Base64;
 
-/** Writes one instance's actions as wire lines. */
-final class Replies implements Actions {
+/** Writes the actions of one instance as lines of the protocol. */
+final class ActionWriter implements Actions {
     private final StringBuilder out;
-    private final String front;
+    private final String frontField;
 
-    Replies(StringBuilder out, long front) {
+    ActionWriter(StringBuilder out, long frontId) {
         this.out = out;
-        this.front = " frontId=" + front;
+        this.frontField = " frontId=" + frontId;
     }
 
     private StringBuilder line(String name) {
-        return out.append(name).append(front);
+        return out.append(name).append(frontField);
     }
 
     private StringBuilder line(String name, String id) {
@@ -43,13 +43,13 @@
     }
 
     @Override
-    public void terms(String id, double memory, int priority) {
+    public void setAttemptOptions(String id, double memory, int priority) {
         line("EQUIP", id).append(" memory=").append(Math.round(memory)).append(" importance=").append(priority)
                 .append('\n');
     }
 
     @Override
-    public void wake(long delay, long handle) {
+    public void setTimer(long delay, long handle) {
         line("WAKE_ME").append(" sleepForNs=").append(delay).append(" handle=").append(handle).append('\n');
     }
 
@@ -59,13 +59,13 @@
     }
 
     @Override
-    public void tell(byte[] message) {
+    public void broadcast(byte[] message) {
         String text = message.length == 0 ? "-" : Base64.getEncoder().encodeToString(message);
         line("NOTIFY").append(" peer=all contents=").append(text).append('\n');
     }
 
     @Override
-    public void follow() {
+    public void subscribe() {
         line("FOLLOW").append(" want=1\n");
     }
 
@@ -74,7 +74,7 @@
         line("RECORD").append(" what=").append(text.replace('\n', ' ')).append('\n');
     }
 
-    void crash(Throwable cause) {
+    void reportCrash(Throwable cause) {
         String where = cause.getStackTrace().length > 0 ? " at " + cause.getStackTrace()[0] : "";
         line("CRASH").append(" what=").append((cause + where).replace('\n', ' ')).append('\n');
     }
--- a/src/main/java/cairnline/store/SnapshotCodec.java
+++ b/src/main/java/cairnline/store/SnapshotCodec.java
@@ -1,6 +1,6 @@
 package cairnline.store;
 
-import cairnline.control.ControlApi.Listed;
+import cairnline.control.ControlApi.EngineStatus;
 import cairnline.membership.ListedEngine;
 import cairnline.membership.StoredEngine;
 import cairnline.membership.State;
@@ -37,7 +37,7 @@
     /** Encoded size of an engine without the content of its four texts. */
     private static final int ENGINE_FIXED_BYTES = 4 * 2 + 2 + 4 + 8 + 3 * 8;
     private static final int MAX_TEXT_BYTES = 0xFFFF;
-    private static final Listed[] STATUSES = Listed.values();
+    private static final EngineStatus[] STATUSES = EngineStatus.values();
     private static final State[] STATES = State.values();
 
     private SnapshotCodec() { }
@@ -136,7 +136,7 @@
         String address = readText(in);
         String zone = internedTexts.computeIfAbsent(readText(in), text -> text);
         String kind = internedTexts.computeIfAbsent(readText(in), text -> text);
-        Listed status = STATUSES[in.get()];
+        EngineStatus status = STATUSES[in.get()];
         State state = STATES[in.get()];
         int cell = in.getInt();
         double size = in.getDouble();
--- a/src/main/java/cairnline/transport/FeedClient.java
+++ b/src/main/java/cairnline/transport/FeedClient.java
@@ -1,6 +1,6 @@
 package cairnline.transport;
 
-import cairnline.control.ControlApi.Listed;
+import cairnline.control.ControlApi.EngineStatus;
 import cairnline.protocol.ByteQueue;
 import cairnline.protocol.FeedEvent;
 import cairnline.protocol.ProtocolException;
@@ -160,13 +160,13 @@
     }
 
     private static ListedEngine toListedEngine(FeedEvent.EngineEntry entry, WallClock wallClock) {
-        Listed status = switch (entry.state()) {
-            case IN_SERVICE -> Listed.READY;
-            case TERMINATING -> Listed.DRAINING;
-            case TERMINATED -> Listed.GONE;
+        EngineStatus status = switch (entry.state()) {
+            case IN_SERVICE -> EngineStatus.READY;
+            case TERMINATING -> EngineStatus.DRAINING;
+            case TERMINATED -> EngineStatus.REMOVED;
         };
         long startedAt = wallClock.startOf(entry.id(), Clock.ofUnix(entry.startedAtMillis()));
-        if (status == Listed.GONE) {
+        if (status == EngineStatus.REMOVED) {
             wallClock.forget(entry.id());
         }
         return new ListedEngine(entry.id(), entry.address(), status, entry.zone(), entry.kind(), entry.cell(),
--- a/src/main/java/cairnline/transport/HttpConnection.java
+++ b/src/main/java/cairnline/transport/HttpConnection.java
@@ -1,6 +1,6 @@
 package cairnline.transport;
 
-import cairnline.control.ControlApi.End;
+import cairnline.control.ControlApi.AttemptStatus;
 import cairnline.protocol.HttpDecoder;
 import cairnline.protocol.HttpMessage;
 import cairnline.protocol.ODataPages;
@@ -91,7 +91,7 @@
             }
         }
         if (!allowed) {
-            dispatcher.attemptEnded(newAttempt, Attempt.Result.of(End.NOT_SENT));
+            dispatcher.attemptEnded(newAttempt, Attempt.Result.of(AttemptStatus.NOT_SENT));
             return null;
         }
         return withHost(HttpMessage.parse(newAttempt.request().statement()));
@@ -145,9 +145,9 @@
         }
         int status = answer.status();
         if (status == STATUS_UNAVAILABLE || status == STATUS_TOO_MANY_REQUESTS) {
-            endAttempt(answer, Attempt.Result.of(End.FULL));
+            endAttempt(answer, Attempt.Result.of(AttemptStatus.FULL));
         } else if (status >= MIN_SERVER_ERROR_STATUS && status != STATUS_NOT_IMPLEMENTED) {
-            endAttempt(answer, Attempt.Result.of(End.ERROR));
+            endAttempt(answer, Attempt.Result.of(AttemptStatus.ERROR));
         } else {
             handlePage(current, answer);
         }
@@ -164,16 +164,16 @@
             usable = false;
         }
         if (!usable || pageCount > limits.http().pages()) {
-            endAttempt(answer, Attempt.Result.of(End.ERROR));
+            endAttempt(answer, Attempt.Result.of(AttemptStatus.ERROR));
         } else if (nextTarget != null && current.isWanted() && !answer.closesConnection()) {
             connection.send(withHost(HttpMessage.request("GET", nextTarget, Map.of("accept", "application/json"),
                     new byte[0])));
         } else if (nextTarget != null && current.isWanted()) {
-            endAttempt(answer, Attempt.Result.of(End.ERROR));
+            endAttempt(answer, Attempt.Result.of(AttemptStatus.ERROR));
         } else {
             byte[] joined = pages.join().encode();
-            endAttempt(answer, joined.length > limits.http().bodyBytes() ? Attempt.Result.of(End.ERROR)
-                    : new Attempt.Result(End.OK, joined, 0, 0));
+            endAttempt(answer, joined.length > limits.http().bodyBytes() ? Attempt.Result.of(AttemptStatus.ERROR)
+                    : new Attempt.Result(AttemptStatus.OK, joined, 0, 0));
         }
     }
 
@@ -219,7 +219,7 @@
             attempt = null;
         }
         if (lost != null) {
-            End status = requestWritten ? End.RESET : wasConnected ? End.NOT_SENT : End.CONNECT_FAILED;
+            AttemptStatus status = requestWritten ? AttemptStatus.RESET : wasConnected ? AttemptStatus.NOT_SENT : AttemptStatus.CONNECT_FAILED;
             dispatcher.attemptEnded(lost, Attempt.Result.of(status));
         }
     }
--- a/src/main/java/cairnline/transport/RespConnection.java
+++ b/src/main/java/cairnline/transport/RespConnection.java
@@ -1,7 +1,7 @@
 package cairnline.transport;
 
-import cairnline.control.ControlApi.End;
-import cairnline.control.ControlApi.NoteKind;
+import cairnline.control.ControlApi.AttemptStatus;
+import cairnline.control.ControlApi.StatusKind;
 import cairnline.membership.Evidence;
 import cairnline.protocol.EngineMessage;
 import cairnline.protocol.PagedResult;
@@ -190,7 +190,7 @@
             }
         }
         if (!allowed) {
-            dispatcher.attemptEnded(attempt, Attempt.Result.of(End.NOT_SENT));
+            dispatcher.attemptEnded(attempt, Attempt.Result.of(AttemptStatus.NOT_SENT));
             return null;
         }
         Map<String, String> fields = new LinkedHashMap<>();
@@ -313,9 +313,9 @@
         switch (message.kind()) {
             case OK -> handleFirstPage(exchange, message);
             case PAGE -> handlePage(exchange, message);
-            case FULL -> endAttempt(exchange, Attempt.Result.of(End.FULL));
-            case ERROR -> endAttempt(exchange, Attempt.Result.of(End.ERROR));
-            case STALE -> endAttempt(exchange, Attempt.Result.of(End.NOT_SENT));
+            case FULL -> endAttempt(exchange, Attempt.Result.of(AttemptStatus.FULL));
+            case ERROR -> endAttempt(exchange, Attempt.Result.of(AttemptStatus.ERROR));
+            case STALE -> endAttempt(exchange, Attempt.Result.of(AttemptStatus.NOT_SENT));
             case STATUS -> reportStatus(exchange.attempt, message);
             case PROBE -> throw new ProtocolException("probe answer received for a request");
         }
@@ -328,7 +328,7 @@
         }
         boolean isPaged = exchange.result.count() > 1;
         if (isPaged && !exchange.attempt.isWanted()) {
-            endEarly(exchange, Attempt.Result.of(End.OK));
+            endEarly(exchange, Attempt.Result.of(AttemptStatus.OK));
             return;
         }
         if (isPaged) {
@@ -345,7 +345,7 @@
         if (exchange.attempt.isWanted()) {
             storePage(exchange, message.pageNumber(), message.body());
         } else {
-            endEarly(exchange, Attempt.Result.of(End.OK));
+            endEarly(exchange, Attempt.Result.of(AttemptStatus.OK));
         }
     }
 
@@ -353,9 +353,9 @@
         PagedResult result = exchange.result;
         result.put(page, rows);
         if (result.size() > limits.engines().resultBytes()) {
-            endEarly(exchange, Attempt.Result.of(End.ERROR));
+            endEarly(exchange, Attempt.Result.of(AttemptStatus.ERROR));
         } else if (result.isComplete()) {
-            endAttempt(exchange, new Attempt.Result(End.OK, result.join(), result.work(), result.memory()));
+            endAttempt(exchange, new Attempt.Result(AttemptStatus.OK, result.join(), result.work(), result.memory()));
         }
     }
 
@@ -367,10 +367,10 @@
 
     private void reportStatus(Attempt attempt, EngineMessage message) {
         switch (message.statusName()) {
-            case "advance" -> dispatcher.statusReceived(attempt, NoteKind.PROGRESS, message.statusValue());
-            case "disk" -> dispatcher.statusReceived(attempt, NoteKind.SPILL, message.statusValue());
+            case "advance" -> dispatcher.statusReceived(attempt, StatusKind.PROGRESS, message.statusValue());
+            case "disk" -> dispatcher.statusReceived(attempt, StatusKind.SPILL, message.statusValue());
             case "stall" -> dispatcher.statusReceived(attempt,
-                    message.statusValue() >= 2 ? NoteKind.WAITS_LOAD : NoteKind.WAITS_MEMORY, message.statusValue());
+                    message.statusValue() >= 2 ? StatusKind.WAITS_LOAD : StatusKind.WAITS_MEMORY, message.statusValue());
             default -> { }
         }
     }
@@ -381,7 +381,7 @@
             if (!exchanges.remove(id, exchange)) {
                 return;
             }
-            if (result.status() != End.OK || !exchange.result.isComplete()) {
+            if (result.status() != AttemptStatus.OK || !exchange.result.isComplete()) {
                 // The next attempt of the request has the same id, and must not receive an answer to this one that still arrives.
                 abandonedIds.put(id, Boolean.TRUE);
             }
@@ -433,7 +433,7 @@
             dispatcher.evidenceObserved(link.engine(), evidence);
         }
         for (Exchange exchange : inFlight) {
-            End status = exchange.written ? End.RESET : wasConnected ? End.NOT_SENT : End.CONNECT_FAILED;
+            AttemptStatus status = exchange.written ? AttemptStatus.RESET : wasConnected ? AttemptStatus.NOT_SENT : AttemptStatus.CONNECT_FAILED;
             dispatcher.attemptEnded(exchange.attempt, Attempt.Result.of(status));
         }
         openProbes.forEach(probe -> probe.answer.accept(null));
--- a/src/test/java/cairnline/control/DecisionsTest.java
+++ b/src/test/java/cairnline/control/DecisionsTest.java
@@ -1,95 +1,95 @@
 package cairnline.control;
 
-import static cairnline.control.Script.MS;
-import static cairnline.control.Script.SECOND;
+import static cairnline.control.ScriptedFront.MILLI_NANOS;
+import static cairnline.control.ScriptedFront.SECOND_NANOS;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cairnline.control.ControlApi.End;
+import cairnline.control.ControlApi.AttemptStatus;
 import cairnline.control.ControlApi.Load;
 import cairnline.control.ControlApi.Outcome;
-import cairnline.control.Script.Site;
+import cairnline.control.ScriptedFront.TestSettings;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The ordinary path and its defences, driven by scripted events. */
+/** Decisions on the normal path and under failures, driven by scripted events. */
 class DecisionsTest {
-    private final Site site = new Site();
+    private final TestSettings settings = new TestSettings();
 
-    /** Serves one query from send to success. */
-    private static void serve(Script s, String id, String type, long rtt) {
-        s.take(id, type);
-        s.pass(rtt);
-        s.end(id, 0, s.engineOf(id), End.OK, rtt);
+    /** Sends one query and finishes it with success after {@code rtt}. */
+    private static void serve(ScriptedFront front, String id, String requestClass, long rtt) {
+        front.request(id, requestClass);
+        front.advance(rtt);
+        front.finish(id, 0, front.engineOf(id), AttemptStatus.OK, rtt);
     }
 
     @Test
-    void aFastFailingEngineDoesNotAttractTraffic() {
-        Script s = new Script(site);
-        s.list("e1", "e2");
+    void avoidsEngineThatFailsFast() {
+        ScriptedFront front = new ScriptedFront(settings);
+        front.listEngines("e1", "e2");
         int failed = 0;
         for (int i = 0; i < 60; i++) {
             String id = "a" + i;
-            s.take(id, "small");
-            if (s.engineOf(id).equals("e1")) {
+            front.request(id, "small");
+            if (front.engineOf(id).equals("e1")) {
                 failed++;
-                s.end(id, 0, "e1", End.ERROR, MS);
+                front.finish(id, 0, "e1", AttemptStatus.ERROR, MILLI_NANOS);
             }
-            s.pass(100 * MS);
-            s.end(id, (int) s.count("send " + id + " ") - 1, "e2", End.OK, 100 * MS);
+            front.advance(100 * MILLI_NANOS);
+            front.finish(id, (int) front.countActions("send " + id + " ") - 1, "e2", AttemptStatus.OK, 100 * MILLI_NANOS);
         }
         assertTrue(failed <= 15, "sent to the failing engine: " + failed);
     }
 
     @Test
-    void oneLongQueryCausesNoRefusals() {
-        Script s = new Script(site);
-        s.list("e1", "e2");
+    void doesNotRefuseQueriesAfterOneLongQuery() {
+        ScriptedFront front = new ScriptedFront(settings);
+        front.listEngines("e1", "e2");
         for (int i = 0; i < 20; i++) {
-            serve(s, "a" + i, "small", 80 * MS);
+            serve(front, "a" + i, "small", 80 * MILLI_NANOS);
         }
-        serve(s, "long", "small", 2900 * MS);
+        serve(front, "long", "small", 2900 * MILLI_NANOS);
         for (int i = 0; i < 20; i++) {
-            serve(s, "b" + i, "small", 80 * MS);
+            serve(front, "b" + i, "small", 80 * MILLI_NANOS);
         }
-        assertEquals(0, s.count("refuse"));
+        assertEquals(0, front.countActions("refuse"));
     }
 
     @Test
-    void whenAllEnginesFailTheyAreStillTried() {
-        Script s = new Script(site);
-        s.list("e1", "e2");
+    void triesEnginesWhenAllOfThemFail() {
+        ScriptedFront front = new ScriptedFront(settings);
+        front.listEngines("e1", "e2");
         for (int i = 0; i < 20; i++) {
-            s.take("a" + i, "small");
-            for (int n = 0; n < 3 && s.count("send a" + i + " ") == n + 1; n++) {
-                s.end("a" + i, n, s.engineOf("a" + i), End.ERROR, MS);
+            front.request("a" + i, "small");
+            for (int n = 0; n < 3 && front.countActions("send a" + i + " ") == n + 1; n++) {
+                front.finish("a" + i, n, front.engineOf("a" + i), AttemptStatus.ERROR, MILLI_NANOS);
             }
         }
-        s.take("b", "small");
-        assertEquals(1, s.count("send b"));
+        front.request("b", "small");
+        assertEquals(1, front.countActions("send b"));
     }
 
     @Test
-    void overTheMarkQueriesAreHeldAndLeaveByDeadline() {
-        Script s = new Script(site);
-        s.list("e1");
+    void holdsQueriesOverConcurrencyLimitAndSendsThemByLatencyTarget() {
+        ScriptedFront front = new ScriptedFront(settings);
+        front.listEngines("e1");
         for (int i = 0; i < 6; i++) {
-            s.take("big" + i, "big");
+            front.request("big" + i, "big");
         }
-        s.end("big0", 0, "e1", End.FULL, MS);
-        s.fresh();
+        front.finish("big0", 0, "e1", AttemptStatus.FULL, MILLI_NANOS);
+        front.newActions();
         for (int i = 6; i < 12; i++) {
-            s.take("big" + i, "big");
+            front.request("big" + i, "big");
         }
-        s.take("small0", "small");
-        s.fresh();
+        front.request("small0", "small");
+        front.newActions();
         for (int i = 1; i < 6; i++) {
-            s.end("big" + i, 0, "e1", End.OK, 100 * MS);
+            front.finish("big" + i, 0, "e1", AttemptStatus.OK, 100 * MILLI_NANOS);
         }
-        List<String> sent = new ArrayList<>(s.fresh());
+        List<String> sent = new ArrayList<>(front.newActions());
         sent.removeIf(a -> !a.startsWith("send"));
         List<String> order = sent.stream().filter(a -> a.startsWith("send big")).toList();
         List<String> sorted = new ArrayList<>(order);
@@ -98,237 +98,242 @@
         assertTrue(!order.isEmpty());
     }
 
-    /** Once missed where the light class's aim was more than a quarter of the heaviest's. */
+    /**
+     * Guards against a priority that depends on the latency target: a cheap class would miss it where its target exceeds a
+     * quarter of the most expensive class's.
+     */
     @Test
-    void theCheaperClassGoesFirstOnShortCoresWhateverTheAims() {
-        site.smallAim = 3100 * MS;
-        Script s = new Script(site);
-        s.list("e1", "e2");
+    void givesCheaperClassPriorityWhateverItsLatencyTarget() {
+        settings.smallLatencyTarget = 3100 * MILLI_NANOS;
+        ScriptedFront front = new ScriptedFront(settings);
+        front.listEngines("e1", "e2");
         for (int i = 0; i < 40; i++) {
-            serve(s, "a" + i, "small", 80 * MS);
+            serve(front, "a" + i, "small", 80 * MILLI_NANOS);
         }
-        s.take("x", "small");
-        assertTrue(s.actions.contains("terms x 0 3"), s.actions.toString());
+        front.request("x", "small");
+        assertTrue(front.actions.contains("options x 0 3"), front.actions.toString());
     }
 
-    /** Loads that nobody waits for once went before reports, which then were the worst-served class. */
+    /** Guards against loads displacing a class that does not wait for them, which then is served worst of all. */
     @Test
-    void loadsGoFirstOnlyWhereOthersWaitForThem() {
+    void givesLoadsPriorityOnlyWhereOtherClassesWaitForThem() {
         for (boolean wait : new boolean[] {false, true}) {
-            site.bigHolds = true;
-            site.smallWaits = wait;
-            Script s = new Script(site);
-            s.list("e1");
-            s.take("x", "big");
-            assertEquals(wait ? 1 : 0, s.count("terms x 0 2"));
+            settings.bigLocksTables = true;
+            settings.smallWaitsForLock = wait;
+            ScriptedFront front = new ScriptedFront(settings);
+            front.listEngines("e1");
+            front.request("x", "big");
+            assertEquals(wait ? 1 : 0, front.countActions("options x 0 2"));
         }
     }
 
-    /** Delays once stood for work where answers tell none, so classes grew heavier as engines filled. */
+    /** Guards against delays used as work where answers report none: classes then look heavier as engines fill. */
     @Test
-    void toldWorkAndNotDelayMakesAClassLight() {
-        Script s = new Script(site);
-        s.list("e1", "e2");
+    void ranksClassesByEstimatedWorkAndNotByDelay() {
+        ScriptedFront front = new ScriptedFront(settings);
+        front.listEngines("e1", "e2");
         for (int i = 0; i < 80; i++) {
-            s.takeTold("a" + i, "small", SECOND);
-            s.end("a" + i, 0, s.engineOf("a" + i), End.OK, 100 * MS);
-            s.takeTold("b" + i, "big", 50 * MS);
-            s.pass(2 * SECOND);
-            s.end("b" + i, 0, s.engineOf("b" + i), End.OK, 2 * SECOND);
+            front.requestWithWork("a" + i, "small", SECOND_NANOS);
+            front.finish("a" + i, 0, front.engineOf("a" + i), AttemptStatus.OK, 100 * MILLI_NANOS);
+            front.requestWithWork("b" + i, "big", 50 * MILLI_NANOS);
+            front.advance(2 * SECOND_NANOS);
+            front.finish("b" + i, 0, front.engineOf("b" + i), AttemptStatus.OK, 2 * SECOND_NANOS);
         }
-        s.takeTold("x", "big", 50 * MS);
-        assertTrue(s.actions.contains("terms x 0 3"), "the last actions: " + s.fresh());
+        front.requestWithWork("x", "big", 50 * MILLI_NANOS);
+        assertTrue(front.actions.contains("options x 0 3"), "latest actions: " + front.newActions());
     }
 
     private static int number(String send) {
         return Integer.parseInt(send.split(" ")[1].substring("big".length()));
     }
 
-    /** A query of a class that usually takes half a second, with its progress after that time. */
-    private Script afterHalfASecond(double done) {
-        site.cancel = true;
-        Script s = new Script(site);
-        s.list("e1", "e2");
+    /** Runs a query of a class that usually takes half a second and reports its progress after that time. */
+    private ScriptedFront reportProgressAfterHalfASecond(double progress) {
+        settings.cancel = true;
+        ScriptedFront front = new ScriptedFront(settings);
+        front.listEngines("e1", "e2");
         for (int i = 0; i < 30; i++) {
-            serve(s, "a" + i, "big", 500 * MS);
+            serve(front, "a" + i, "big", 500 * MILLI_NANOS);
         }
-        s.take("x", "big");
-        s.pass(500 * MS);
-        s.progress("x", 0, s.engineOf("x"), done);
-        return s;
+        front.request("x", "big");
+        front.advance(500 * MILLI_NANOS);
+        front.progress("x", 0, front.engineOf("x"), progress);
+        return front;
     }
 
     @Test
-    void aRunawayIsCalledOffAndTriedAgain() {
-        Script s = afterHalfASecond(0.02);
-        assertEquals(1, s.count("cancel x 0"));
-        s.end("x", 0, s.engineOf("x"), End.CANCELLED, 500 * MS);
-        assertEquals(2, s.count("send x"));
+    void cancelsAndRetriesRunawayAttempt() {
+        ScriptedFront front = reportProgressAfterHalfASecond(0.02);
+        assertEquals(1, front.countActions("cancel x 0"));
+        front.finish("x", 0, front.engineOf("x"), AttemptStatus.CANCELLED, 500 * MILLI_NANOS);
+        assertEquals(2, front.countActions("send x"));
     }
 
     @Test
-    void anAttemptThatGetsOnWellIsLeftAlone() {
-        Script s = afterHalfASecond(0.5);
-        assertEquals(0, s.count("cancel"));
+    void doesNotCancelAttemptWithGoodProgress() {
+        ScriptedFront front = reportProgressAfterHalfASecond(0.5);
+        assertEquals(0, front.countActions("cancel"));
     }
 
     @Test
-    void aTinyEngineListChangeDoesNotForgetHeldQueries() {
-        Script s = new Script(site);
-        s.list();
-        s.take("a", "small");
-        s.list("e1");
-        assertEquals(List.of("send a e1"), s.fresh());
+    void sendsHeldQueriesWhenEngineListChanges() {
+        ScriptedFront front = new ScriptedFront(settings);
+        front.listEngines();
+        front.request("a", "small");
+        front.listEngines("e1");
+        assertEquals(List.of("send a e1"), front.newActions());
     }
 
     @Test
-    void anEngineReportedFullLongAgoIsTriedAgain() {
-        Script s = new Script(site);
-        s.list("e1", "e2");
+    void usesEngineAgainLongAfterItReportedFull() {
+        ScriptedFront front = new ScriptedFront(settings);
+        front.listEngines("e1", "e2");
         Load full = new Load(Double.NaN, Double.NaN, 60, 1.5, Double.NaN);
-        s.take("a", "small");
-        String first = s.engineOf("a");
-        s.control.outcome(s.now, new Outcome("a", 0, first, End.OK, 50 * MS, true, 0, 0, full));
-        s.take("b", "small");
-        assertNotEquals(first, s.engineOf("b"));
-        s.pass(60 * SECOND);
+        front.request("a", "small");
+        String first = front.engineOf("a");
+        front.control.onOutcome(front.now, new Outcome("a", 0, first, AttemptStatus.OK, 50 * MILLI_NANOS, true, 0, 0, full));
+        front.request("b", "small");
+        assertNotEquals(first, front.engineOf("b"));
+        front.advance(60 * SECOND_NANOS);
         for (int i = 0; i < 8; i++) {
-            s.take("c" + i, "big");
+            front.request("c" + i, "big");
         }
-        assertTrue(s.actions.stream().anyMatch(a -> a.startsWith("send c") && a.endsWith(" " + first)));
+        assertTrue(front.actions.stream().anyMatch(a -> a.startsWith("send c") && a.endsWith(" " + first)));
     }
 
     @Test
-    void aSilentEngineIsPassedOver() {
-        Script s = new Script(site);
-        s.list("e1", "e2");
+    void avoidsSilentEngine() {
+        ScriptedFront front = new ScriptedFront(settings);
+        front.listEngines("e1", "e2");
         for (int i = 0; i < 20; i++) {
-            serve(s, "a" + i, "small", 80 * MS);
+            serve(front, "a" + i, "small", 80 * MILLI_NANOS);
         }
-        s.take("hung", "small");
-        String silent = s.engineOf("hung");
-        s.pass(SECOND);
+        front.request("hung", "small");
+        String silent = front.engineOf("hung");
+        front.advance(SECOND_NANOS);
         for (int i = 0; i < 10; i++) {
-            serve(s, "b" + i, "small", 80 * MS);
-            assertNotEquals(silent, s.engineOf("b" + i));
+            serve(front, "b" + i, "small", 80 * MILLI_NANOS);
+            assertNotEquals(silent, front.engineOf("b" + i));
         }
     }
 
     @Test
-    void onFullEnginesTrafficPastItsTenantsShareIsRefusedFirst() {
-        Script s = new Script(site);
-        s.list("e1");
+    void refusesTrafficOverTenantShareFirstWhenEnginesAreFull() {
+        ScriptedFront front = new ScriptedFront(settings);
+        front.listEngines("e1");
         for (int i = 0; i < 30; i++) {
-            s.takeOf("two", "a" + i, "big");
+            front.requestOfTenant("two", "a" + i, "big");
         }
-        assertTrue(s.count("refuse a") > 0);
-        s.takeOf("one", "b", "big");
-        assertEquals(0, s.count("refuse b"));
+        assertTrue(front.countActions("refuse a") > 0);
+        front.requestOfTenant("one", "b", "big");
+        assertEquals(0, front.countActions("refuse b"));
     }
 
     @Test
-    void onFullEnginesVeryCostlyQueriesPayForTheirTime() {
-        Script s = new Script(site);
-        s.list("e1");
+    void refusesVeryExpensiveQueryWhenEnginesAreFull() {
+        ScriptedFront front = new ScriptedFront(settings);
+        front.listEngines("e1");
         for (int i = 0; i < 6; i++) {
-            s.take("a" + i, "big");
+            front.request("a" + i, "big");
         }
-        s.takeTold("dear", "big", 60 * SECOND);
-        s.take("usual", "big");
-        assertEquals(1, s.count("refuse dear"));
-        assertEquals(0, s.count("refuse usual"));
+        front.requestWithWork("dear", "big", 60 * SECOND_NANOS);
+        front.request("usual", "big");
+        assertEquals(1, front.countActions("refuse dear"));
+        assertEquals(0, front.countActions("refuse usual"));
     }
 
     @Test
-    void aBurstSpreadsOverTheEngines() {
-        Script s = new Script(site);
-        s.list("e1", "e2", "e3", "e4");
+    void spreadsBurstOverEngines() {
+        ScriptedFront front = new ScriptedFront(settings);
+        front.listEngines("e1", "e2", "e3", "e4");
         for (int i = 0; i < 40; i++) {
-            s.take("a" + i, "small");
+            front.request("a" + i, "small");
         }
         for (String id : List.of("e1", "e2", "e3", "e4")) {
-            long sent = s.actions.stream().filter(a -> a.startsWith("send") && a.endsWith(id)).count();
+            long sent = front.actions.stream().filter(a -> a.startsWith("send") && a.endsWith(id)).count();
             assertTrue(sent >= 5 && sent <= 15, id + " got " + sent);
         }
     }
 
     @Test
-    void heldQueriesShareOneTimer() {
-        Script s = new Script(site);
-        s.list();
+    void sharesOneTimerAmongHeldQueries() {
+        ScriptedFront front = new ScriptedFront(settings);
+        front.listEngines();
         for (int i = 0; i < 100; i++) {
-            s.take("a" + i, "small");
+            front.request("a" + i, "small");
         }
-        assertEquals(1, s.wakes);
-        s.pass(10 * SECOND);
-        assertEquals(100, s.count("refuse"));
-        int before = s.wakes;
-        s.pass(60 * SECOND);
-        assertEquals(before, s.wakes, "no timer runs while nothing is held");
+        assertEquals(1, front.timersSet);
+        front.advance(10 * SECOND_NANOS);
+        assertEquals(100, front.countActions("refuse"));
+        int before = front.timersSet;
+        front.advance(60 * SECOND_NANOS);
+        assertEquals(before, front.timersSet, "no timer is set while no query is held");
     }
 
     @Test
-    void aFullyBusyEngineCountsAsFullOfOthers() {
-        Script s = new Script(site);
-        s.list("e1", "e2");
+    void treatsFullyBusyEngineAsFull() {
+        ScriptedFront front = new ScriptedFront(settings);
+        front.listEngines("e1", "e2");
         Load busy = new Load(1.0, 0, Double.NaN, 0.1, 1);
         Load idle = new Load(0.1, 0, Double.NaN, 0.1, 0);
         String first = "e1";
         for (int i = 0; i < 20; i++) {
             String id = "a" + i;
-            s.take(id, "small");
-            s.take("also" + id, "small");
-            s.pass(50 * MS);
+            front.request(id, "small");
+            front.request("also" + id, "small");
+            front.advance(50 * MILLI_NANOS);
             for (String each : List.of(id, "also" + id)) {
-                String at = s.engineOf(each);
-                Load load = i == 19 && at.equals(first) ? busy : idle;
-                s.control.outcome(s.now, new Outcome(each, 0, at, End.OK, 50 * MS, true, 0, 0, load));
+                String engine = front.engineOf(each);
+                Load load = i == 19 && engine.equals(first) ? busy : idle;
+                front.control.onOutcome(front.now,
+                        new Outcome(each, 0, engine, AttemptStatus.OK, 50 * MILLI_NANOS, true, 0, 0, load));
             }
         }
         for (int i = 0; i < 4; i++) {
-            s.take("c" + i, "small");
-            assertNotEquals(first, s.engineOf("c" + i));
+            front.request("c" + i, "small");
+            assertNotEquals(first, front.engineOf("c" + i));
         }
     }
 
     @Test
-    void wrongUseIsRejected() {
-        Script s = new Script(site);
-        s.list("e1");
-        s.take("a", "small");
-        assertThrows(IllegalArgumentException.class, () -> s.take("a", "small"));
-        assertThrows(IllegalArgumentException.class, () -> s.take("b", "unheard of"));
-        s.end("a", 5, "e1", End.OK, MS);
-        s.end("nobody", 0, "e1", End.OK, MS);
-        s.now -= SECOND;
-        assertThrows(IllegalArgumentException.class, () -> s.take("c", "small"));
+    void rejectsWrongUse() {
+        ScriptedFront front = new ScriptedFront(settings);
+        front.listEngines("e1");
+        front.request("a", "small");
+        assertThrows(IllegalArgumentException.class, () -> front.request("a", "small"));
+        assertThrows(IllegalArgumentException.class, () -> front.request("b", "unheard of"));
+        front.finish("a", 5, "e1", AttemptStatus.OK, MILLI_NANOS);
+        front.finish("nobody", 0, "e1", AttemptStatus.OK, MILLI_NANOS);
+        front.now -= SECOND_NANOS;
+        assertThrows(IllegalArgumentException.class, () -> front.request("c", "small"));
     }
 
     @Test
-    void equalEventsGiveEqualActionsAlsoBesideOtherInstances() {
-        List<Script> all = List.of(new Script(site), new Script(site), new Script(site));
-        for (Script s : all) {
-            s.list("e1", "e2", "e3");
+    void actsEquallyOnEqualEventsBesideOtherInstances() {
+        List<ScriptedFront> all = List.of(new ScriptedFront(settings), new ScriptedFront(settings),
+                new ScriptedFront(settings));
+        for (ScriptedFront front : all) {
+            front.listEngines("e1", "e2", "e3");
         }
         for (int i = 0; i < 500; i++) {
-            for (Script s : all.subList(0, 2)) {
-                step(s, i);
+            for (ScriptedFront front : all.subList(0, 2)) {
+                sendAndFinishQuery(front, i);
             }
         }
         for (int i = 0; i < 500; i++) {
-            step(all.get(2), i);
+            sendAndFinishQuery(all.get(2), i);
         }
         assertEquals(all.get(0).actions, all.get(1).actions);
         assertEquals(all.get(0).actions, all.get(2).actions);
-        assertTrue(all.get(0).count("send") > 100);
+        assertTrue(all.get(0).countActions("send") > 100);
     }
 
-    private static void step(Script s, int i) {
-        s.take("q" + i, i % 5 == 0 ? "big" : "small");
-        s.pass(7 * MS);
-        if (i >= 10 && s.engineOf("q" + (i - 10)) != null) {
-            End end = i % 17 == 0 ? End.ERROR : End.OK;
-            s.end("q" + (i - 10), 0, s.engineOf("q" + (i - 10)), end, 70 * MS);
+    private static void sendAndFinishQuery(ScriptedFront front, int i) {
+        front.request("q" + i, i % 5 == 0 ? "big" : "small");
+        front.advance(7 * MILLI_NANOS);
+        if (i >= 10 && front.engineOf("q" + (i - 10)) != null) {
+            AttemptStatus status = i % 17 == 0 ? AttemptStatus.ERROR : AttemptStatus.OK;
+            front.finish("q" + (i - 10), 0, front.engineOf("q" + (i - 10)), status, 70 * MILLI_NANOS);
         }
     }
 }
--- a/src/test/java/cairnline/membership/MembershipTest.java
+++ b/src/test/java/cairnline/membership/MembershipTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cairnline.control.ControlApi.Listed;
+import cairnline.control.ControlApi.EngineStatus;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
@@ -22,13 +22,13 @@
     private final TrustSettings settings = TrustSettings.defaults(WARM_UP_MICROS);
     private final Membership membership = new Membership(settings);
 
-    private static ListedEngine engine(String id, Listed status) {
+    private static ListedEngine engine(String id, EngineStatus status) {
         return new ListedEngine(id, "127.0.0.1:" + (7_000 + id.charAt(1)), status, "dc1", "std16", 0, 1, 0);
     }
 
     private static StoredEngine stored(String id, State lastState, long age) {
-        Listed status = lastState == State.DRAINING ? Listed.DRAINING
-                : lastState == State.REMOVED ? Listed.GONE : Listed.READY;
+        EngineStatus status = lastState == State.DRAINING ? EngineStatus.DRAINING
+                : lastState == State.REMOVED ? EngineStatus.REMOVED : EngineStatus.READY;
         return new StoredEngine(engine(id, status), lastState, NOW_MICROS - age, 0);
     }
 
@@ -45,13 +45,13 @@
         return ids;
     }
 
-    private Listed offeredStatus(String id) {
-        return membership.offerFor(engine(id, Listed.GONE)).status();
+    private EngineStatus offeredStatus(String id) {
+        return membership.offerFor(engine(id, EngineStatus.REMOVED)).status();
     }
 
     @Test
     void offersReportedEnginesUnchanged() {
-        ListedEngine reported = engine("e1", Listed.READY);
+        ListedEngine reported = engine("e1", EngineStatus.READY);
         assertEquals(List.of(reported), membership.applyUpdate(NOW_MICROS, true, List.of(reported)));
         assertEquals(reported, membership.offerFor(reported));
         for (Evidence each : Evidence.values()) {
@@ -64,10 +64,10 @@
     @Test
     void offersRestoredEngineAsJustStartedOnceItAnswers() {
         restore(stored("e1", State.CONFIRMED, 10 * SECOND_MICROS));
-        assertEquals(Listed.DRAINING, offeredStatus("e1"));
+        assertEquals(EngineStatus.DRAINING, offeredStatus("e1"));
         assertEquals(List.of("e1"), dueProbes(NOW_MICROS));
         ListedEngine offer = membership.observe(NOW_MICROS + 3 * MILLI_MICROS, "e1", Evidence.PROBE_ANSWERED);
-        assertEquals(Listed.READY, offer.status());
+        assertEquals(EngineStatus.READY, offer.status());
         assertEquals(NOW_MICROS + 3 * MILLI_MICROS, offer.startedAt(),
                 "it may be as cold as an engine that started when it was first observed");
         assertTrue(!offer.startTimeKnown(), "and it may become warm only at the last permitted moment");
@@ -102,7 +102,7 @@
     @Test
     void probesMostTrustedFirstAndLimitsConcurrentProbes() {
         StoredEngine[] many = IntStream.range(0, 200).mapToObj(i -> new StoredEngine(new ListedEngine("e" + i,
-                "127.0.0.1:" + (2_000 + i), Listed.READY, "dc1", "std16", 0, 1, 0), State.CONFIRMED,
+                "127.0.0.1:" + (2_000 + i), EngineStatus.READY, "dc1", "std16", 0, 1, 0), State.CONFIRMED,
                 NOW_MICROS - i * HOUR_MICROS, 0))
                 .toArray(StoredEngine[]::new);
         restore(many);
@@ -161,7 +161,7 @@
         for (int i = 0; i < 10; i++) {
             assertNull(membership.observe(NOW_MICROS + i, "e1", Evidence.REQUEST_SERVED));
         }
-        assertEquals(Listed.DRAINING, offeredStatus("e1"));
+        assertEquals(EngineStatus.DRAINING, offeredStatus("e1"));
         assertEquals(settings.retryAfter(), membership.retryAfter(NOW_MICROS), "nothing can be offered");
     }
 
@@ -198,9 +198,9 @@
         restore(stored("e1", State.CONFIRMED, 0), stored("e2", State.CONFIRMED, 0), stored("e3", State.CONFIRMED, 0));
         membership.observe(NOW_MICROS, "e1", Evidence.PROBE_ANSWERED);
         membership.applyUpdate(NOW_MICROS + MILLI_MICROS, true,
-                List.of(engine("e1", Listed.READY), engine("e2", Listed.DRAINING)));
+                List.of(engine("e1", EngineStatus.READY), engine("e2", EngineStatus.DRAINING)));
         assertEquals(State.CONFIRMED, membership.stateOf("e1"));
-        assertEquals(0, membership.offerFor(engine("e1", Listed.READY)).startedAt(),
+        assertEquals(0, membership.offerFor(engine("e1", EngineStatus.READY)).startedAt(),
                 "the start time that the feed reports takes precedence");
         assertEquals(State.DRAINING, membership.stateOf("e2"));
         assertNull(membership.stateOf("e3"));
@@ -213,22 +213,22 @@
     @Test
     void removesRestoredEngineWhoseAddressIsReportedForAnotherEngine() {
         restore(stored("e1", State.CONFIRMED, 0), stored("e2", State.CONFIRMED, 0));
-        ListedEngine replacement = new ListedEngine("n1", engine("e1", Listed.READY).address(), Listed.READY,
+        ListedEngine replacement = new ListedEngine("n1", engine("e1", EngineStatus.READY).address(), EngineStatus.READY,
                 "dc1", "std16", 0, 1, 0);
         List<ListedEngine> entries = membership.applyUpdate(NOW_MICROS, false, List.of(replacement));
         assertEquals(List.of("n1", "e1"), entries.stream().map(ListedEngine::id).toList());
-        assertEquals(Listed.GONE, entries.get(1).status());
+        assertEquals(EngineStatus.REMOVED, entries.get(1).status());
         assertNull(membership.stateOf("e1"));
         assertEquals(State.RESTORED, membership.stateOf("e2"));
     }
 
     @Test
     void drainIsUrgentToStoreButServedRequestIsNot() {
-        membership.applyUpdate(NOW_MICROS, true, List.of(engine("e1", Listed.READY)));
+        membership.applyUpdate(NOW_MICROS, true, List.of(engine("e1", EngineStatus.READY)));
         assertTrue(membership.takeUrgentChange());
         membership.observe(NOW_MICROS, "e1", Evidence.REQUEST_SERVED);
         assertTrue(!membership.takeUrgentChange());
-        membership.applyUpdate(NOW_MICROS, false, List.of(engine("e1", Listed.DRAINING)));
+        membership.applyUpdate(NOW_MICROS, false, List.of(engine("e1", EngineStatus.DRAINING)));
         assertTrue(membership.takeUrgentChange());
         assertEquals(State.DRAINING, membership.view(NOW_MICROS).storedEngines().get(0).lastState());
     }
--- a/src/test/java/cairnline/program/ConfigurationTest.java
+++ b/src/test/java/cairnline/program/ConfigurationTest.java
@@ -31,11 +31,11 @@
     void readsSettingsInTheFormOfTheSimulator() {
         Configuration configuration = parse(exampleJson());
         assertEquals(List.of("lookup", "report", "load", "once"),
-                configuration.settings().types().stream().map(requestClass -> requestClass.name()).toList());
+                configuration.settings().requestClasses().stream().map(requestClass -> requestClass.name()).toList());
         assertEquals(List.of(1, 4, 2, 1),
-                configuration.settings().types().stream().map(requestClass -> requestClass.threads()).toList());
-        assertTrue(configuration.settings().types().get(0).waitsForHolder());
-        assertEquals(16, configuration.settings().kinds().get("std16").cores());
+                configuration.settings().requestClasses().stream().map(requestClass -> requestClass.threads()).toList());
+        assertTrue(configuration.settings().requestClasses().get(0).waitsForTableLock());
+        assertEquals(16, configuration.settings().machineTypes().get("std16").cores());
         assertEquals(250_000, configuration.limits().connections().connectTimeout());
         assertTrue(configuration.requestClasses().get("load").needsOrderingKey());
         assertFalse(configuration.requestClasses().get("lookup").needsIdempotencyKey());
@@ -48,13 +48,13 @@
         int valueStart = exampleJson().indexOf(groupSizeKey) + groupSizeKey.length();
         assertTrue(valueStart > groupSizeKey.length(), "the example contains the group size");
         String afterValue = exampleJson().substring(valueStart).replaceFirst("^\\d+", "");
-        assertEquals(14, parse(exampleJson().substring(0, valueStart) + 14 + afterValue).settings().fronts());
-        assertEquals(1, parse(exampleJson().substring(0, valueStart) + 1 + afterValue).settings().fronts());
-        assertEquals(1, parse(exampleJson().replace(groupSizeKey, "\"other\": ")).settings().fronts());
+        assertEquals(14, parse(exampleJson().substring(0, valueStart) + 14 + afterValue).settings().frontCount());
+        assertEquals(1, parse(exampleJson().substring(0, valueStart) + 1 + afterValue).settings().frontCount());
+        assertEquals(1, parse(exampleJson().replace(groupSizeKey, "\"other\": ")).settings().frontCount());
         ConfigurationException e = assertThrows(ConfigurationException.class,
                 () -> parse(exampleJson().substring(0, valueStart) + 0 + afterValue));
         assertTrue(e.getMessage().startsWith("settings: "), e.getMessage());
-        assertEquals(1_024, parse(exampleJson().substring(0, valueStart) + 1_024 + afterValue).settings().fronts());
+        assertEquals(1_024, parse(exampleJson().substring(0, valueStart) + 1_024 + afterValue).settings().frontCount());
         assertThrows(ConfigurationException.class,
                 () -> parse(exampleJson().substring(0, valueStart) + "\"many\"" + afterValue));
     }
@@ -71,7 +71,7 @@
     @Test
     void extendsTimeThatOrderingKeyStaysBlocked() {
         // 300 ms are configured; an attempt given up early counts as running until its client's deadline.
-        assertEquals(400_000_000, parse(exampleJson()).settings().rules().keyRest());
+        assertEquals(400_000_000, parse(exampleJson()).settings().safetyRules().keyCooldown());
     }
 
     @Test
--- a/src/test/java/cairnline/program/DiscoveryTest.java
+++ b/src/test/java/cairnline/program/DiscoveryTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cairnline.control.ControlApi.Listed;
+import cairnline.control.ControlApi.EngineStatus;
 import cairnline.membership.ListedEngine;
 import cairnline.membership.StoredEngine;
 import cairnline.membership.State;
@@ -85,7 +85,7 @@
     }
 
     private static StoredEngine stored(String id, String address, State last, long ageMicros) {
-        Listed listed = last == State.DRAINING ? Listed.DRAINING : Listed.READY;
+        EngineStatus listed = last == State.DRAINING ? EngineStatus.DRAINING : EngineStatus.READY;
         return new StoredEngine(new ListedEngine(id, address, listed, "dc1", "std16", 0, 4, 0), last,
                 unixMicros() - ageMicros, 0);
     }
--- a/src/test/java/cairnline/store/SnapshotFolderTest.java
+++ b/src/test/java/cairnline/store/SnapshotFolderTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cairnline.control.ControlApi.Listed;
+import cairnline.control.ControlApi.EngineStatus;
 import cairnline.membership.ListedEngine;
 import cairnline.membership.Membership;
 import cairnline.membership.TrustSettings;
@@ -267,7 +267,7 @@
 
     private static Membership membershipWithOneEngine() {
         Membership membership = new Membership(TrustSettings.defaults(1));
-        membership.applyUpdate(NOW, true, List.of(new ListedEngine("e1", "127.0.0.1:1", Listed.READY, "z", "k", 0, 1, 0)));
+        membership.applyUpdate(NOW, true, List.of(new ListedEngine("e1", "127.0.0.1:1", EngineStatus.READY, "z", "k", 0, 1, 0)));
         return membership;
     }
 
