--- a/src/main/java/cairnline/transport/HttpConnection.java
+++ b/src/main/java/cairnline/transport/HttpConnection.java
@@ -219,7 +219,8 @@
             attempt = null;
         }
         if (lost != null) {
-            AttemptStatus status = requestWritten ? AttemptStatus.RESET : wasConnected ? AttemptStatus.NOT_SENT : AttemptStatus.CONNECT_FAILED;
+            AttemptStatus status = requestWritten ? AttemptStatus.RESET
+                    : wasConnected ? AttemptStatus.NOT_SENT : AttemptStatus.CONNECT_FAILED;
             dispatcher.attemptEnded(lost, Attempt.Result.of(status));
         }
     }
--- a/src/main/java/cairnline/transport/RespConnection.java
+++ b/src/main/java/cairnline/transport/RespConnection.java
@@ -406,7 +406,8 @@
         if (decoder.hasPartialInput() || !idle && quietTime >= limits.engines().silenceTimeout()) {
             closeEvidence = Evidence.NO_ANSWER;
         }
-        closed |= decoder.hasPartialInput() || quietTime >= (idle ? limits.engines().idleTimeout() : limits.engines().silenceTimeout());
+        closed |= decoder.hasPartialInput()
+                || quietTime >= (idle ? limits.engines().idleTimeout() : limits.engines().silenceTimeout());
         return !closed;
     }
 
@@ -433,7 +434,8 @@
             dispatcher.evidenceObserved(link.engine(), evidence);
         }
         for (Exchange exchange : inFlight) {
-            AttemptStatus status = exchange.written ? AttemptStatus.RESET : wasConnected ? AttemptStatus.NOT_SENT : AttemptStatus.CONNECT_FAILED;
+            AttemptStatus status = exchange.written ? AttemptStatus.RESET
+                    : wasConnected ? AttemptStatus.NOT_SENT : AttemptStatus.CONNECT_FAILED;
             dispatcher.attemptEnded(exchange.attempt, Attempt.Result.of(status));
         }
         openProbes.forEach(probe -> probe.answer.accept(null));
