--- a/src/main/java/cairnline/program/Configuration.java
+++ b/src/main/java/cairnline/program/Configuration.java
@@ -221,8 +221,8 @@
             return settings;
         }
         SafetyRules extended = new SafetyRules(rules.drainGrace(), rules.coldCapacity(), rules.warmUpTime(),
-                rules.overloadMultiple(), rules.overloadWindow(), rules.keyCooldown() + KEY_COOLDOWN_SLACK_NANOS, rules.retryAllowance(),
-                rules.retriesPerRequest(), rules.retryWindow());
+                rules.overloadMultiple(), rules.overloadWindow(), rules.keyCooldown() + KEY_COOLDOWN_SLACK_NANOS,
+                rules.retryAllowance(), rules.retriesPerRequest(), rules.retryWindow());
         return new Settings(settings.frontIndex(), settings.frontCount(), settings.zone(), settings.requestClasses(),
                 settings.tenants(), settings.machineTypes(), settings.permissions(), extended, settings.overShareWorth(),
                 settings.memoryGrantCap(), settings.subscriptionRequired(), settings.statusInterval(),
