--- a/src/main/java/cairnline/control/Control.java
+++ b/src/main/java/cairnline/control/Control.java
@@ -20,6 +20,8 @@
  * <p>Reading order: the constants; the safety rules ({@link #maySend} and {@link #close}); the normal path
  * ({@link #decide}, {@link #choose}, {@link #predict}, {@link #payoff}, {@link #mayStart}); held queries
  * ({@link #releaseHeld}); feedback ({@link #onOutcome}, {@link #learn}, {@link #updateHealth}); engine list.
+ *
+ * <p>Prediction and payoff follow Arvidsson, "Profit optimal congestion control", here called "the paper".
  */
 public final class Control implements ControlApi {
     private static final long MILLI_NANOS = 1_000_000L, SECOND_NANOS = 1_000 * MILLI_NANOS;
@@ -32,7 +34,7 @@
     private static final long KEY_MARGIN_NANOS = 250 * MILLI_NANOS;
     /** Events this near the edge of the retry window count as inside or outside, whichever is stricter. */
     private static final long EDGE_TOLERANCE_NANOS = 20 * MILLI_NANOS;
-    /** Weight of the newest delay in a geometric mean: one query's size must not decide about an engine. */
+    /** Weight of the newest delay in a geometric mean: one query's size must not sway it much. */
     private static final double DELAY_SMOOTHING = 0.1;
     /** Minimum and step of the concurrency limit, and the load ratio of light classes from which it falls. */
     private static final double MIN_LIMIT = 1.2, LIMIT_STEP_PER_SECOND = 0.3, OVERLOAD_RATIO = 2.5;
@@ -48,13 +50,13 @@
     private static final int MAX_ERRORS = 3;
     /** Time between checks of which engines to probe. */
     private static final long PROBE_TICK_NANOS = 50 * MILLI_NANOS;
-    /** Odds from which an engine may be unreachable. */
+    /** Odds above which an engine counts as possibly unreachable and is probed sooner. */
     private static final double UNREACHABLE_ODDS = 0.5;
-    /** Share of the overload multiple that all fronts send a cold engine; two draws at once leave a fifth. */
+    /** Share of the overload multiple that all fronts send a cold engine; two draws each leave a fifth. */
     private static final double COLD_FILL = 0.4;
     /** A query above this share of a cold engine's capacity in a window waits until the engine is warmer. */
     private static final double MAX_COLD_QUERY = 0.3;
-    /** It need not wait if all sends of all fronts in the window are within this share of the multiple. */
+    /** Unless the sends of all fronts in the window, with it, are within this share of the multiple. */
     private static final double MAX_COLD_TOTAL = 0.5;
     private static final int PRIORITY_LIGHT = 3, PRIORITY_TABLE_LOCK = 2, PRIORITY_DEFAULT = 1;
     /** Weight, in answers, of a delay projected from a status update: the reported progress is imprecise. */
@@ -65,7 +67,7 @@
     private static final double LOCK_FACTOR = 3;
     /** An attempt this many times slower than predicted has a bad plan or a bad engine. */
     private static final double RUNAWAY_FACTOR = 3;
-    /** Reported progress is imprecise: it is raised to the first; beyond the second nothing is cancelled. */
+    /** Reported progress is imprecise: the first is its least value; past the second nothing is cancelled. */
     private static final double MIN_PROGRESS = 0.01, NEARLY_DONE_PROGRESS = 0.6;
     /** The paper's marginal cost: worth of a full engine's time to others, as a share of the class's. */
     private static final double FULL_ENGINE_PRICE = 1;
@@ -174,8 +176,8 @@
 
     /** Protects a cold engine from overload: a front sends at most its share of the capacity per window. */
     private boolean coldEngineHasRoom(EngineEstimate engine, double work) {
-        // Only whole queries are sent; the last one fits with a probability drawn once per window. So many
-        // fronts send their share on average, and stay below the overload multiple even at two draws each.
+        // Only whole queries are sent; a draw per window decides whether the last one fits. Fronts together
+        // thus send their share on average, and stay below the overload multiple even at two draws each.
         SafetyRules rules = settings.safetyRules();
         long age = now - engine.coldSince;
         if (engine.coldSince == 0 || age >= rules.warmUpTime()) {
@@ -398,7 +400,7 @@
         return base * query.size * (waits && engine.locks.containsKey(query.tableGroup) ? LOCK_FACTOR : 1);
     }
 
-    /** The payoff of sending over refusing: Phi((T - prediction) / sigma), less the price when full. */
+    /** Expected payoff of sending over refusing: Phi((T - prediction) / sigma), less the price when full. */
     private double payoff(Query query, double prediction, boolean full) {
         double left = Math.min(query.latencyTargetAt, query.deadline) - now - prediction;
         double onTime = Gaussian.cdf(left / Math.max(1, StrictMath.sqrt(query.requestClass.meanSquareError)));
@@ -410,7 +412,7 @@
                 * ((query.overTenantShare ? settings.overShareWorth() : 1) * earned - price);
     }
 
-    /** True below the concurrency limit; above it with a probability that falls with the excess. */
+    /** Returns true up to the concurrency limit; above it, with a probability that falls with the excess. */
     private boolean mayStart(Query query, EngineEstimate engine) {
         double excess = engine.fullness(query.requestClass.settings.threads(), now, concurrencyLimit) - 1;
         return excess <= 0 || random.nextDouble() >= excess / START_CHANCE_RANGE;
@@ -515,7 +517,7 @@
         }
     }
 
-    /** Retries an attempt without status updates: its engine is unhealthy or its response was lost. */
+    /** Cancels a silent attempt if it may be retried: its engine is unhealthy or its response was lost. */
     private void cancelIfSilent(Attempt attempt) {
         // A stall of this front does not count. Could harm where updates get lost but responses do not.
         double silence = now - Math.max(attempt.lastStatusAt, resumedAt);
@@ -653,7 +655,8 @@
 
     /** Counts an error against its engine only once another engine has served the request. */
     private void updateHealth(Attempt attempt, AttemptStatus status) {
-        // A request that no engine can serve is no evidence. Could harm if all engines fail: none stands out.
+        // A request that no engine can serve is no evidence against any. Could harm if all engines fail:
+        // none of them is then recognised as unhealthy.
         EngineEstimate engine = attempt.engine;
         Query query = attempt.query;
         if (status == AttemptStatus.ERROR) {
@@ -731,7 +734,7 @@
         }
     }
 
-    /** Sends a query that spills for the first time soon after its start again, with the missing memory. */
+    /** Restarts a query, with the memory that it lacked, if its first spill is soon after its start. */
     private void onSpill(Attempt attempt, double missing) {
         // Little work is lost, and a spill costs the work several times over. Could harm if memory is short.
         Query query = attempt.query;
@@ -745,9 +748,9 @@
         }
     }
 
-    /** Sends a query that waits for a load elsewhere, once: its tables are locked only at that engine. */
+    /** Moves a query that waits for a load to another engine, once: its tables are locked only here. */
     private void onWait(Attempt attempt, StatusKind kind, long elapsed) {
-        // What may not be retried stays; its wait is not slowness. Could harm if all engines load its tables.
+        // Only safe queries move. Waiting is not slowness. Could harm if all engines load the same tables.
         Query query = attempt.query;
         if (query.requestClass.settings.retrySafety() != RetrySafety.SAFE) {
             attempt.waiting = true;
--- a/src/main/java/cairnline/control/EngineHealth.java
+++ b/src/main/java/cairnline/control/EngineHealth.java
@@ -6,8 +6,8 @@
  *
  * <p>Reachability and the ability to serve requests are tracked apart. A connection that breaks or falls silent is weak
  * evidence about the engine behind it, however many attempts are lost with it; any response, also to a probe, shows that
- * the engine is reachable, but not that it serves the requests it fails. Could harm where an engine answers probes but
- * no requests: then only the silence of each attempt gives it away.
+ * the engine is reachable, but is no evidence about requests that it fails. Could harm where an engine answers probes but
+ * no requests: then only the silence of each attempt reveals it.
  */
 final class EngineHealth {
     /** Odds before any evidence, and their upper bound. */
--- a/src/main/java/cairnline/control/Predictor.java
+++ b/src/main/java/cairnline/control/Predictor.java
@@ -5,7 +5,10 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 
-/** The paper's three-state delay prediction for one class at one engine; plain state of {@link Control}. */
+/**
+ * The three-state delay prediction of the paper that {@link Control} names, for one class at one engine;
+ * plain state of {@link Control}.
+ */
 final class Predictor {
     /** Share of the gap to the recent delay by which the minimum rises with each success, to let it age. */
     private static final double MIN_DELAY_AGEING = 0.005;
@@ -43,7 +46,7 @@
         return remaining / (remaining + EQUAL_WEIGHT_SUCCESSES);
     }
 
-    /** Starts from the means of all engines: one lucky query must not make an engine look fast. */
+    /** Starts from the means of all engines: one untypical query must not define an engine. */
     void recordSuccess(double delay, long now, double contention, RequestClass requestClass) {
         if (recentDelay == 0) {
             recentDelay = requestClass.recentDelay;
--- a/src/main/java/cairnline/control/RelativeSlowness.java
+++ b/src/main/java/cairnline/control/RelativeSlowness.java
@@ -13,7 +13,7 @@
     private static final double DECAY_NANOS = 4e9;
     /** Number of answers that the mean of the other engines counts for. */
     private static final double PRIOR_ANSWERS = 2;
-    /** Bound for one sample: a larger one is due to a bad plan or a wrong estimate, not to the engine. */
+    /** Bound for the logarithm of one sample: a larger one is due to a bad plan or a wrong estimate, not to the engine. */
     private static final double MAX_LOG_RATIO = 3;
 
     private double weightedLogSum, weight;
--- a/src/main/java/cairnline/control/RequestClass.java
+++ b/src/main/java/cairnline/control/RequestClass.java
@@ -5,9 +5,12 @@
 import cairnline.control.ControlApi.RequestClassSettings;
 import java.util.TreeSet;
 
-/** Estimates for one class of requests (load ratio, delay, work, memory), and its held queries. */
+/**
+ * Estimates for one class of requests (load ratio, delay, work, memory), and its held queries; plain state of
+ * {@link Control}, which names the paper.
+ */
 final class RequestClass {
-    /** Initial delay as a share of the latency target: with all of it any wait would refuse a query. */
+    /** Initial delay as a share of the latency target: with the full target any wait would mean refusal. */
     private static final double INITIAL_DELAY_SHARE = 0.5;
     /** Weight of the newest value in the class means of work, memory and error. */
     static final double CLASS_SMOOTHING = 0.05;
@@ -71,7 +74,7 @@
         }
     }
 
-    /** Updates the paper's load ratio, summed predictions over minima; idle engines count by recent ratio. */
+    /** Updates the load ratio of the paper: summed predictions over minima; idle engines by recent ratio. */
     void updateLoadRatio(Iterable<EngineEstimate> engines, long now) {
         double predictions = 0, minima = 0, contentions = 0;
         int count = 0, measured = 0;
--- a/src/test/java/cairnline/control/ManyFrontsTest.java
+++ b/src/test/java/cairnline/control/ManyFrontsTest.java
@@ -79,7 +79,7 @@
         assertTrue(maxProbes <= 5 * mean + 3, maxProbes + " probes in one tick, " + mean + " on average");
     }
 
-    /** Guards against every front probing an unreachable engine four times a second for as long as it is away. */
+    /** Guards against every front probing an unreachable engine four times a second for as long as this lasts. */
     @Test
     void backsOffProbesOfUnreachableEngine() {
         settings.probes = true;
