--- a/src/main/java/cairnline/membership/Member.java
+++ b/src/main/java/cairnline/membership/Member.java
@@ -33,6 +33,7 @@
                 stored.aliveAt(), 0, null);
     }
 
+    /** Returns the member after this evidence; the same one if only {@code aliveAt} would move, within its resolution. */
     Member after(Evidence evidence, long now) {
         if (!state.needsProbing() && evidence.isGood() && trust.logOdds() == Trust.MAX_LOG_ODDS
                 && now - aliveAt < ALIVE_RESOLUTION_MICROS) {
@@ -47,7 +48,8 @@
         return new Member(engine, nextState, nextTrust, reportedAt, evidence.isGood() ? now : aliveAt, since, evidence);
     }
 
-    Member at(long now, long warmUpMicros) {
+    /** Returns the member at this time: warm if it has been alive for the warm-up period. */
+    Member advancedTo(long now, long warmUpMicros) {
         State nextState = aliveSince == 0 ? state : state.afterAliveFor(now - aliveSince, warmUpMicros);
         return nextState == state ? this
                 : new Member(engine, nextState, trust, reportedAt, aliveAt, aliveSince, latestEvidence);
--- a/src/main/java/cairnline/membership/Membership.java
+++ b/src/main/java/cairnline/membership/Membership.java
@@ -132,7 +132,7 @@
             WarmUp warmUp = warmUps.pollFirst();
             Member member = members.get(warmUp.id);
             if (member != null && member.aliveSince() == warmUp.aliveSince) {
-                put(member.at(now, settings.warmUpTime()), now);
+                put(member.advancedTo(now, settings.warmUpTime()), now);
             }
         }
         return offers;
--- a/src/test/java/cairnline/membership/MembershipTest.java
+++ b/src/test/java/cairnline/membership/MembershipTest.java
@@ -233,7 +233,7 @@
         assertEquals(State.DRAINING, membership.view(NOW_MICROS).storedEngines().get(0).lastState());
     }
 
-    /** Checks the transitions that the diagram in docs/membership.md shows. */
+    /** Checks the transitions by evidence that the diagram in docs/membership.md shows, for every state. */
     @Test
     void evidenceLeadsToDocumentedStates() {
         for (State state : Set.of(State.CONFIRMED, State.DRAINING, State.REMOVED)) {
