--- a/src/test/java/cairnline/program/CrowdTest.java
+++ b/src/test/java/cairnline/program/ConnectionFloodTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** Far more connections than there is room for, beside a client that goes on asking. */
-class CrowdTest {
+class ConnectionFloodTest {
     private static final long LIMIT_S = 20;
     private static final int SOCKETS = 256;
     private static final int CROWD = 600;
