--- a/src/test/java/cairnline/program/Daemon.java
+++ b/src/test/java/cairnline/program/DaemonThreads.java
@@ -4,10 +4,10 @@
 import java.io.IOException;
 
 /** Threads of stand-ins, which end quietly when their sockets are closed. */
-final class Daemon {
+final class DaemonThreads {
     private static final int STACK = 256 * 1_024;
 
-    private Daemon() { }
+    private DaemonThreads() { }
 
     /** What such a thread does. */
     interface Task {
--- a/src/test/java/cairnline/program/FaultProxy.java
+++ b/src/test/java/cairnline/program/FaultProxy.java
@@ -66,11 +66,11 @@
     }
 
     private void accept(ServerSocket from) {
-        Daemon.start("fault proxy", () -> {
+        DaemonThreads.start("fault proxy", () -> {
             while (true) {
                 Socket near = from.accept();
                 sockets.add(near);
-                Daemon.start("fault proxy", () -> serve(near));
+                DaemonThreads.start("fault proxy", () -> serve(near));
             }
         });
     }
@@ -80,7 +80,7 @@
         sockets.add(far);
         near.setTcpNoDelay(true);
         far.setTcpNoDelay(true);
-        Daemon.start("fault proxy", () -> pass(near, far, false));
+        DaemonThreads.start("fault proxy", () -> pass(near, far, false));
         pass(far, near, true);
     }
 
--- a/src/test/java/cairnline/program/MemoryTest.java
+++ b/src/test/java/cairnline/program/MemoryTest.java
@@ -38,10 +38,10 @@
         private final ServerSocket server = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
 
         LargeAnswers() throws IOException {
-            Daemon.start("large answers", () -> {
+            DaemonThreads.start("large answers", () -> {
                 while (true) {
                     Socket socket = server.accept();
-                    Daemon.start("large answers", () -> serve(socket));
+                    DaemonThreads.start("large answers", () -> serve(socket));
                 }
             });
         }
--- a/src/test/java/cairnline/program/RecordingEngine.java
+++ b/src/test/java/cairnline/program/RecordingEngine.java
@@ -56,7 +56,7 @@
         this.name = name;
         this.random = new Random(seed);
         server = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
-        Daemon.start("recording engine", this::accept);
+        DaemonThreads.start("recording engine", this::accept);
     }
 
     int port() {
@@ -75,7 +75,7 @@
     private void accept() throws IOException {
         while (true) {
             Socket socket = server.accept();
-            Daemon.start("recording engine", () -> serve(socket));
+            DaemonThreads.start("recording engine", () -> serve(socket));
         }
     }
 
