--- a/src/test/java/cairnline/program/FirstAskTest.java
+++ b/src/test/java/cairnline/program/FeedReadinessTest.java
@@ -27,7 +27,7 @@
  * What the configuration knows of the list is as old as a start takes, and what the control feed has counts as told:
  * nobody is ready before the feed has been asked, as far as it can be.
  */
-class FirstAskTest {
+class FeedReadinessTest {
     private static final long LIMIT_S = 10;
 
     private final Clock clock = new Clock();
