--- a/src/test/java/cairnline/program/ReadersTest.java
+++ b/src/test/java/cairnline/program/EngineConnectionThreadsTest.java
@@ -30,7 +30,7 @@
  * Connections to engines cost no thread, whether anything is open on them or not. Each of 120 programs with one to each of 300
  * engines had 300 readers: more than the 32,768 threads of a machine, and programs failed to start, ended or hung.
  */
-class ReadersTest {
+class EngineConnectionThreadsTest {
     private static final int ENGINES = 200;
     private static final long LIMIT_S = 20;
 
