--- a/src/test/java/cairnline/program/SoakRecords.java
+++ b/src/test/java/cairnline/program/SoakInvariants.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.TimeUnit;
 
 /** The rules of the service, checked over what clients and engines recorded. */
-final class SoakRecords {
+final class SoakInvariants {
     private static final long CROSSING_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
     private static final long GONE_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
     private static final long DEADLINE_SLACK_MS = 150;
@@ -28,7 +28,7 @@
     private final Map<String, Call> calls = new HashMap<>();
     private final Map<String, FrameClient> connections = new HashMap<>();
 
-    SoakRecords(List<RecordingEngine> engines, List<SoakClient> clients, Map<String, Long> drainedAt,
+    SoakInvariants(List<RecordingEngine> engines, List<SoakClient> clients, Map<String, Long> drainedAt,
                 boolean crowded, StallMonitor monitor) {
         engines.forEach(engine -> attempts.addAll(engine.attempts()));
         attempts.sort(Comparator.comparingLong(attempt -> attempt.arrivedAt));
--- a/src/test/java/cairnline/program/SoakRun.java
+++ b/src/test/java/cairnline/program/SoakRun.java
@@ -60,7 +60,7 @@
                 TimeUnit.MILLISECONDS.sleep(STEP_MS);
             }
             terminate();
-            new SoakRecords(engines, clients, drainedAt, !crowd.isEmpty(), monitor).check(broken);
+            new SoakInvariants(engines, clients, drainedAt, !crowd.isEmpty(), monitor).check(broken);
         } finally {
             end();
         }
