--- a/src/test/java/cairnline/program/TestLoop.java
+++ b/src/test/java/cairnline/program/LazyEventLoop.java
@@ -6,7 +6,7 @@
 import java.io.UncheckedIOException;
 
 /** The event loop of a wire, started when it is first asked for. */
-final class TestLoop implements AutoCloseable {
+final class LazyEventLoop implements AutoCloseable {
     private EventLoop loop;
 
     synchronized EventLoop get(Configuration configuration, Clock clock) {
--- a/src/test/java/cairnline/program/ODataProtocolFixture.java
+++ b/src/test/java/cairnline/program/ODataProtocolFixture.java
@@ -27,7 +27,7 @@
     private final ConnectionBudget<PooledLink.Connection> connections = new ConnectionBudget<>(1_024, 20_000_000);
     private static final String JSON = "application/json";
     private final int maxClients;
-    private final TestLoop loop = new TestLoop();
+    private final LazyEventLoop loop = new LazyEventLoop();
     private ODataFront front;
 
     ODataProtocolFixture() {
--- a/src/test/java/cairnline/program/PlatformProtocolFixture.java
+++ b/src/test/java/cairnline/program/PlatformProtocolFixture.java
@@ -27,7 +27,7 @@
     private final ConnectionBudget<PooledLink.Connection> connections = new ConnectionBudget<>(1_024, 20_000_000);
     private long lastStream;
     private final int maxClients;
-    private final TestLoop loop = new TestLoop();
+    private final LazyEventLoop loop = new LazyEventLoop();
     private ClientFront front;
 
     PlatformProtocolFixture() {
