--- a/src/test/c/faults.c
+++ b/src/test/c/faults.c
@@ -1,7 +1,8 @@
 /*
- * Preloaded into a workload manager by the fault soak: system calls on sockets fail or are cut short in ways that Linux
- * documents, and the wall clock is stepped by an hour, forward and back. FAULT_SEED names the draw, FAULT_AFTER_MS how long
- * after its start the faults begin, so that the virtual machine comes up undisturbed.
+ * Fault injection library that the fault soak preloads into a workload manager. System calls on sockets fail or transfer fewer
+ * bytes, in ways that Linux documents, and the wall clock is stepped forward and back by an hour. FAULT_SEED is the seed of the
+ * random numbers. FAULT_AFTER_MS is the delay in milliseconds from process start to the first fault, so that the virtual machine
+ * starts undisturbed.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -16,21 +17,21 @@
 #include <time.h>
 #include <unistd.h>
 
-#define MOST_DESCRIPTORS 4096
-#define CLOCK_PERIOD_S 2
-#define CLOCK_STEP_S 3600
+#define MAX_DESCRIPTORS 4096
+#define CLOCK_PHASE_SECONDS 2
+#define CLOCK_STEP_SECONDS 3600
 
 enum { OTHER, ACCEPTED, CONNECTED };
 
-static atomic_uchar kinds[MOST_DESCRIPTORS];
-static atomic_ullong state;
-static int64_t begins_ms;
+static atomic_uchar socket_kinds[MAX_DESCRIPTORS];
+static atomic_ullong random_state;
+static int64_t faults_start_ms;
 
 static int (*real_clock_gettime)(clockid_t, struct timespec *);
 
-#define REAL(name) ((__typeof__(&name)) real(#name))
+#define REAL(name) ((__typeof__(&name)) resolve_real(#name))
 
-static void *real(const char *name) { return dlsym(RTLD_NEXT, name); }
+static void *resolve_real(const char *name) { return dlsym(RTLD_NEXT, name); }
 
 static int64_t monotonic_ms(void) {
     struct timespec now;
@@ -38,36 +39,39 @@
     return now.tv_sec * 1000LL + now.tv_nsec / 1000000;
 }
 
-__attribute__((constructor)) static void begin(void) {
+__attribute__((constructor)) static void initialize(void) {
     real_clock_gettime = REAL(clock_gettime);
     const char *seed = getenv("FAULT_SEED");
-    const char *after = getenv("FAULT_AFTER_MS");
-    state = seed ? strtoull(seed, NULL, 10) * 2654435761ULL + 1 : 1;
-    begins_ms = monotonic_ms() + (after ? atoll(after) : 0);
+    const char *fault_delay = getenv("FAULT_AFTER_MS");
+    random_state = seed ? strtoull(seed, NULL, 10) * 2654435761ULL + 1 : 1;
+    faults_start_ms = monotonic_ms() + (fault_delay ? atoll(fault_delay) : 0);
 }
 
-static unsigned draw(unsigned below) {
-    uint64_t x = atomic_fetch_add(&state, 0x9E3779B97F4A7C15ULL);
+/* Returns a pseudo-random number from 0 to bound - 1 (SplitMix64). */
+static unsigned random_below(unsigned bound) {
+    uint64_t x = atomic_fetch_add(&random_state, 0x9E3779B97F4A7C15ULL);
     x = (x ^ (x >> 30)) * 0xBF58476D1CE4E5B9ULL;
     x = (x ^ (x >> 27)) * 0x94D049BB133111EBULL;
-    return (unsigned) ((x ^ (x >> 31)) % below);
+    return (unsigned) ((x ^ (x >> 31)) % bound);
 }
 
-static int active(void) { return real_clock_gettime && monotonic_ms() >= begins_ms; }
+static int faults_active(void) { return real_clock_gettime && monotonic_ms() >= faults_start_ms; }
 
-static int fails(unsigned one_in, const int *errors, unsigned count) {
-    if (!active() || draw(one_in) != 0) {
+/* Fails one call in one_in: sets errno to one of the errors and returns 1; otherwise returns 0. */
+static int inject_error(unsigned one_in, const int *errors, unsigned count) {
+    if (!faults_active() || random_below(one_in) != 0) {
         return 0;
     }
-    errno = errors[draw(count)];
+    errno = errors[random_below(count)];
     return 1;
 }
 
-static int kind(int fd) { return fd >= 0 && fd < MOST_DESCRIPTORS ? kinds[fd] : OTHER; }
+/* Returns whether a descriptor is an accepted or an outgoing connection; OTHER for any other descriptor. */
+static int socket_kind(int fd) { return fd >= 0 && fd < MAX_DESCRIPTORS ? socket_kinds[fd] : OTHER; }
 
-static int remember(int fd, int what) {
-    if (fd >= 0 && fd < MOST_DESCRIPTORS) {
-        kinds[fd] = what;
+static int set_socket_kind(int fd, int kind) {
+    if (fd >= 0 && fd < MAX_DESCRIPTORS) {
+        socket_kinds[fd] = kind;
     }
     return fd;
 }
@@ -75,83 +79,87 @@
 static const int accept_errors[] = {ECONNABORTED, ENFILE, EMFILE, ENOBUFS, ENOMEM, EINTR, EPROTO};
 static const int socket_errors[] = {ENFILE, EMFILE, ENOBUFS, ENOMEM};
 static const int connect_errors[] = {EADDRNOTAVAIL, ENETUNREACH, ENOBUFS, ETIMEDOUT, EHOSTUNREACH};
-static const int broken_errors[] = {ETIMEDOUT, EHOSTUNREACH, ECONNRESET};
-static const int interrupted[] = {EINTR};
+static const int connection_errors[] = {ETIMEDOUT, EHOSTUNREACH, ECONNRESET};
+static const int interrupt_errors[] = {EINTR};
 
-#define COUNT(list) (sizeof(list) / sizeof((list)[0]))
+#define ARRAY_LENGTH(list) (sizeof(list) / sizeof((list)[0]))
 
 int accept(int fd, struct sockaddr *address, socklen_t *length) {
-    if (fails(10, accept_errors, COUNT(accept_errors))) {
+    if (inject_error(10, accept_errors, ARRAY_LENGTH(accept_errors))) {
         return -1;
     }
-    return remember(REAL(accept)(fd, address, length), ACCEPTED);
+    return set_socket_kind(REAL(accept)(fd, address, length), ACCEPTED);
 }
 
 int accept4(int fd, struct sockaddr *address, socklen_t *length, int flags) {
-    if (fails(10, accept_errors, COUNT(accept_errors))) {
+    if (inject_error(10, accept_errors, ARRAY_LENGTH(accept_errors))) {
         return -1;
     }
-    return remember(REAL(accept4)(fd, address, length, flags), ACCEPTED);
+    return set_socket_kind(REAL(accept4)(fd, address, length, flags), ACCEPTED);
 }
 
 int socket(int domain, int type, int protocol) {
-    if (domain == AF_INET && fails(20, socket_errors, COUNT(socket_errors))) {
+    if (domain == AF_INET && inject_error(20, socket_errors, ARRAY_LENGTH(socket_errors))) {
         return -1;
     }
-    return remember(REAL(socket)(domain, type, protocol), OTHER);
+    return set_socket_kind(REAL(socket)(domain, type, protocol), OTHER);
 }
 
 int connect(int fd, const struct sockaddr *address, socklen_t length) {
-    if (fails(20, connect_errors, COUNT(connect_errors))) {
+    if (inject_error(20, connect_errors, ARRAY_LENGTH(connect_errors))) {
         return -1;
     }
-    remember(fd, CONNECTED);
+    set_socket_kind(fd, CONNECTED);
     return REAL(connect)(fd, address, length);
 }
 
 int close(int fd) {
-    remember(fd, OTHER);
+    set_socket_kind(fd, OTHER);
     return REAL(close)(fd);
 }
 
-/* A call on a socket fails for a moment or, to an engine, for good; else gives how many bytes it may move. */
-static int spoilt(int fd, size_t *count) {
-    int what = kind(fd);
-    if (what == OTHER || !active()) {
+/*
+ * Returns 1, with errno set, if a call on a socket shall fail: with EINTR, which is transient, or, on an outgoing connection,
+ * with an error that ends the connection. Otherwise returns 0 and may reduce the number of bytes to transfer.
+ */
+static int inject_io_fault(int fd, size_t *count) {
+    int kind = socket_kind(fd);
+    if (kind == OTHER || !faults_active()) {
         return 0;
     }
-    if (fails(50, interrupted, 1) || (what == CONNECTED && fails(300, broken_errors, COUNT(broken_errors)))) {
+    if (inject_error(50, interrupt_errors, 1) || (kind == CONNECTED
+            && inject_error(300, connection_errors, ARRAY_LENGTH(connection_errors)))) {
         return 1;
     }
-    if (*count > 1 && draw(5) == 0) {
-        *count = 1 + draw(*count > 64 ? 64 : (unsigned) *count);
+    if (*count > 1 && random_below(5) == 0) {
+        *count = 1 + random_below(*count > 64 ? 64 : (unsigned) *count);
     }
     return 0;
 }
 
 ssize_t read(int fd, void *bytes, size_t count) {
-    return spoilt(fd, &count) ? -1 : REAL(read)(fd, bytes, count);
+    return inject_io_fault(fd, &count) ? -1 : REAL(read)(fd, bytes, count);
 }
 
 ssize_t write(int fd, const void *bytes, size_t count) {
-    return spoilt(fd, &count) ? -1 : REAL(write)(fd, bytes, count);
+    return inject_io_fault(fd, &count) ? -1 : REAL(write)(fd, bytes, count);
 }
 
 ssize_t recv(int fd, void *bytes, size_t count, int flags) {
-    return spoilt(fd, &count) ? -1 : REAL(recv)(fd, bytes, count, flags);
+    return inject_io_fault(fd, &count) ? -1 : REAL(recv)(fd, bytes, count, flags);
 }
 
 ssize_t send(int fd, const void *bytes, size_t count, int flags) {
-    return spoilt(fd, &count) ? -1 : REAL(send)(fd, bytes, count, flags);
+    return inject_io_fault(fd, &count) ? -1 : REAL(send)(fd, bytes, count, flags);
 }
 
-int epoll_wait(int fd, struct epoll_event *events, int most, int timeout) {
-    return fails(50, interrupted, 1) ? -1 : REAL(epoll_wait)(fd, events, most, timeout);
+int epoll_wait(int fd, struct epoll_event *events, int max_events, int timeout) {
+    return inject_error(50, interrupt_errors, 1) ? -1 : REAL(epoll_wait)(fd, events, max_events, timeout);
 }
 
-/* Forward an hour, right, back an hour, and again. */
-static int64_t stepped(void) {
-    return active() ? ((monotonic_ms() - begins_ms) / 1000 / CLOCK_PERIOD_S % 3 - 1) * -CLOCK_STEP_S : 0;
+/* Cycles through three phases: an hour ahead, correct, an hour behind. */
+static int64_t clock_offset_seconds(void) {
+    return faults_active() ? ((monotonic_ms() - faults_start_ms) / 1000 / CLOCK_PHASE_SECONDS % 3 - 1) * -CLOCK_STEP_SECONDS : 0;
 }
 
 int clock_gettime(clockid_t clock, struct timespec *time) {
@@ -160,7 +168,7 @@
     }
     int result = real_clock_gettime(clock, time);
     if (clock == CLOCK_REALTIME && result == 0) {
-        time->tv_sec += stepped();
+        time->tv_sec += clock_offset_seconds();
     }
     return result;
 }
--- a/src/test/java/cairnline/program/ConnectionFloodTest.java
+++ b/src/test/java/cairnline/program/ConnectionFloodTest.java
@@ -17,96 +17,97 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Far more connections than there is room for, beside a client that goes on asking. */
+/** A client is served while far more connections are opened than the descriptor limit allows. */
 class ConnectionFloodTest {
-    private static final long LIMIT_S = 20;
-    private static final int SOCKETS = 256;
-    private static final int CROWD = 600;
-    private static final int ROUNDS = 20;
-    /** What serving may have opened to four engines meanwhile. */
-    private static final int ENGINE_CONNECTIONS = 4 * 8;
+    private static final long TIMEOUT_SECONDS = 20;
+    private static final int MAX_DESCRIPTORS = 256;
+    private static final int FLOOD_CONNECTIONS = 600;
+    private static final int CHECK_COUNT = 20;
+    /** The number of connections that may have been opened to the four engines meanwhile. */
+    private static final int MAX_ENGINE_CONNECTIONS = 4 * 8;
 
     @TempDir
     Path folder;
 
     @Test
-    void aCrowdTakesNoThreadsAndNoMoreDescriptorsThanTold() throws Exception {
+    void connectionFloodAddsNoThreadsAndStaysWithinDescriptorLimit() throws Exception {
         try (StandInFleet fleet = new StandInFleet(4); StandInFeed feed = new StandInFeed();
                 ManagerProcess manager = new ManagerProcess(folder, 0, 1, feed.address(), null,
-                        "{\"n\": 0, \"events\": []}", SOCKETS)) {
-            feed.publish(true, hosts(fleet));
+                        "{\"n\": 0, \"events\": []}", MAX_DESCRIPTORS)) {
+            feed.publish(true, engineEntries(fleet));
             manager.start();
-            ReadinessCheck.await(manager.port(), LIMIT_S);
+            ReadinessCheck.await(manager.port(), TIMEOUT_SECONDS);
             try (FrameClient client = new FrameClient(manager.port())) {
-                serve(client);
-                long threads = threads(manager);
-                long descriptors = descriptors(manager);
-                List<Socket> crowd = new ArrayList<>();
-                for (int i = 0; i < CROWD; i++) {
-                    crowd.add(new Socket(InetAddress.getByName("127.0.0.1"), manager.port()));
-                    if (i % (CROWD / ROUNDS) == 0) {
-                        serve(client);
-                        assertTrue(descriptors(manager) <= SOCKETS, descriptors(manager) + " descriptors");
-                        assertTrue(threads(manager) <= threads, () -> "more threads than the " + threads + " before the crowd");
+                assertServes(client);
+                long threadsBefore = threadCount(manager);
+                long descriptorsBefore = descriptorCount(manager);
+                List<Socket> idleConnections = new ArrayList<>();
+                for (int i = 0; i < FLOOD_CONNECTIONS; i++) {
+                    idleConnections.add(new Socket(InetAddress.getByName("127.0.0.1"), manager.port()));
+                    if (i % (FLOOD_CONNECTIONS / CHECK_COUNT) == 0) {
+                        assertServes(client);
+                        assertTrue(descriptorCount(manager) <= MAX_DESCRIPTORS, descriptorCount(manager) + " open descriptors");
+                        assertTrue(threadCount(manager) <= threadsBefore,
+                                () -> "more threads than the " + threadsBefore + " before the flood");
                     }
                 }
-                for (Socket each : crowd) {
-                    each.close();
+                for (Socket connection : idleConnections) {
+                    connection.close();
                 }
-                serve(client);
-                awaitDescriptors(manager, descriptors + ENGINE_CONNECTIONS);
+                assertServes(client);
+                awaitDescriptorCount(manager, descriptorsBefore + MAX_ENGINE_CONNECTIONS);
             }
             assertEquals(0, manager.stop(), manager.readLog());
         }
     }
 
-    private static List<StandInFeed.EngineEntry> hosts(StandInFleet fleet) {
-        List<StandInFeed.EngineEntry> hosts = new ArrayList<>();
+    private static List<StandInFeed.EngineEntry> engineEntries(StandInFleet fleet) {
+        List<StandInFeed.EngineEntry> engineEntries = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            hosts.add(new StandInFeed.EngineEntry("s-" + i, fleet.address(i), "in_service", 0));
+            engineEntries.add(new StandInFeed.EngineEntry("s-" + i, fleet.address(i), "in_service", 0));
         }
-        return hosts;
+        return engineEntries;
     }
 
-    private static void serve(FrameClient client) throws Exception {
+    private static void assertServes(FrameClient client) throws Exception {
         List<FrameClient.Call> calls = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
-            calls.add(client.ask("lookup", null, 7_000));
+            calls.add(client.send("lookup", null, 7_000));
         }
         for (FrameClient.Call call : calls) {
-            assertEquals(ClientFrames.CODE_SERVED, call.code.get(LIMIT_S, TimeUnit.SECONDS));
+            assertEquals(ClientFrames.CODE_SERVED, call.code.get(TIMEOUT_SECONDS, TimeUnit.SECONDS));
         }
     }
 
-    /** Returns once descriptors are back at so many; the crowd holds far more. */
-    private static void awaitDescriptors(ManagerProcess manager, long most) throws Exception {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(LIMIT_S);
-        while (descriptors(manager) > most) {
-            assertTrue(System.nanoTime() < end, () -> "descriptors stay above " + most);
+    /** Waits until at most {@code maxDescriptors} descriptors are open; during the flood there are far more. */
+    private static void awaitDescriptorCount(ManagerProcess manager, long maxDescriptors) throws Exception {
+        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
+        while (descriptorCount(manager) > maxDescriptors) {
+            assertTrue(System.nanoTime() < deadline, () -> "open descriptors remain above " + maxDescriptors);
             TimeUnit.MILLISECONDS.sleep(10);
         }
     }
 
-    /** Threads but for those that the virtual machine starts and ends as it compiles. */
-    private static long threads(ManagerProcess manager) throws IOException {
-        return names(manager).stream().filter(name -> !name.contains("Compiler")).count();
+    /** Returns the number of threads without compiler threads, which the virtual machine starts and stops as needed. */
+    private static long threadCount(ManagerProcess manager) throws IOException {
+        return threadNames(manager).stream().filter(name -> !name.contains("Compiler")).count();
     }
 
-    private static List<String> names(ManagerProcess manager) throws IOException {
-        List<String> names = new ArrayList<>();
+    private static List<String> threadNames(ManagerProcess manager) throws IOException {
+        List<String> threadNames = new ArrayList<>();
         try (var tasks = Files.list(Path.of("/proc", Long.toString(manager.pid()), "task"))) {
             for (Path task : tasks.toList()) {
                 try {
-                    names.add(Files.readString(task.resolve("comm")).strip());
+                    threadNames.add(Files.readString(task.resolve("comm")).strip());
                 } catch (IOException e) {
-                    // This thread has ended meanwhile.
+                    // The thread has terminated meanwhile.
                 }
             }
         }
-        return names;
+        return threadNames;
     }
 
-    private static long descriptors(ManagerProcess manager) throws IOException {
+    private static long descriptorCount(ManagerProcess manager) throws IOException {
         try (var entries = Files.list(Path.of("/proc", Long.toString(manager.pid()), "fd"))) {
             return entries.count();
         }
--- a/src/test/java/cairnline/program/DaemonThreads.java
+++ b/src/test/java/cairnline/program/DaemonThreads.java
@@ -3,13 +3,13 @@
 import cairnline.protocol.ProtocolException;
 import java.io.IOException;
 
-/** Threads of stand-ins, which end quietly when their sockets are closed. */
+/** Starts daemon threads of stand-ins, which terminate silently when their sockets are closed. */
 final class DaemonThreads {
-    private static final int STACK = 256 * 1_024;
+    private static final int THREAD_STACK_BYTES = 256 * 1_024;
 
     private DaemonThreads() { }
 
-    /** What such a thread does. */
+    /** The work of such a thread. */
     interface Task {
         void run() throws IOException;
     }
@@ -19,9 +19,9 @@
             try {
                 task.run();
             } catch (IOException | ProtocolException e) {
-                // The other side, or the test, has ended it.
+                // The peer or the test has closed the socket.
             }
-        }, name, STACK);
+        }, name, THREAD_STACK_BYTES);
         thread.setDaemon(true);
         thread.start();
     }
--- a/src/test/java/cairnline/program/FaultProxy.java
+++ b/src/test/java/cairnline/program/FaultProxy.java
@@ -10,86 +10,86 @@
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
 
-/** A proxy on a loopback port between a workload manager and an engine, which spoils connections as it is told. */
+/** A TCP proxy on a loopback port between workload managers and an engine that injects connection faults. */
 final class FaultProxy implements AutoCloseable {
-    /** What is done to connections; a change counts for the bytes that come after it. */
+    /** The injected fault. A change applies to open connections too, from the next bytes on. */
     enum Fault {
-        /** All is passed on. */
+        /** Forwards all bytes unchanged. */
         NONE,
-        /** New connections are refused. */
-        REFUSED,
-        /** Bytes are passed on in small pieces. */
-        PIECES,
-        /** Bytes are taken and not passed on. */
-        SILENT,
-        /** The next bytes reset their connection. */
+        /** Refuses new connections; open ones are forwarded unchanged. */
+        REFUSE,
+        /** Forwards bytes in small fragments. */
+        FRAGMENT,
+        /** Reads bytes and discards them. */
+        DISCARD,
+        /** Resets a connection on the next bytes. */
         RESET,
-        /** Half of the engine's next bytes are passed on, and then the connection is reset. */
-        HALF
+        /** Forwards the first half of the next bytes from the engine and then resets the connection. */
+        TRUNCATE
     }
 
-    private static final int PIECE = 7;
+    private static final int FRAGMENT_BYTES = 7;
 
     private final int port;
-    private final int target;
+    private final int enginePort;
     private final List<Socket> sockets = new CopyOnWriteArrayList<>();
     private volatile Fault fault = Fault.NONE;
     private ServerSocket server;
 
-    FaultProxy(int target) throws IOException {
-        this.target = target;
+    FaultProxy(int enginePort) throws IOException {
+        this.enginePort = enginePort;
         server = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
         port = server.getLocalPort();
-        accept(server);
+        acceptConnections(server);
     }
 
     String address() {
         return "127.0.0.1:" + port;
     }
 
-    synchronized void set(Fault next) throws IOException {
-        if (next == Fault.REFUSED) {
+    synchronized void setFault(Fault newFault) throws IOException {
+        if (newFault == Fault.REFUSE) {
             server.close();
         } else if (server.isClosed()) {
             server = new ServerSocket();
             server.setReuseAddress(true);
             server.bind(new InetSocketAddress("127.0.0.1", port), 50);
-            accept(server);
+            acceptConnections(server);
         }
-        fault = next;
+        fault = newFault;
     }
 
-    /** Ends all connections as a process that dies does. */
+    /** Resets all connections, as the crash of the engine process would. */
     void resetAll() {
         sockets.forEach(FaultProxy::reset);
         sockets.clear();
     }
 
-    private void accept(ServerSocket from) {
+    private void acceptConnections(ServerSocket listening) {
         DaemonThreads.start("fault proxy", () -> {
             while (true) {
-                Socket near = from.accept();
-                sockets.add(near);
-                DaemonThreads.start("fault proxy", () -> serve(near));
+                Socket managerSocket = listening.accept();
+                sockets.add(managerSocket);
+                DaemonThreads.start("fault proxy", () -> serve(managerSocket));
             }
         });
     }
 
-    private void serve(Socket near) throws IOException {
-        Socket far = new Socket(InetAddress.getByName("127.0.0.1"), target);
-        sockets.add(far);
-        near.setTcpNoDelay(true);
-        far.setTcpNoDelay(true);
-        DaemonThreads.start("fault proxy", () -> pass(near, far, false));
-        pass(far, near, true);
+    private void serve(Socket managerSocket) throws IOException {
+        Socket engineSocket = new Socket(InetAddress.getByName("127.0.0.1"), enginePort);
+        sockets.add(engineSocket);
+        managerSocket.setTcpNoDelay(true);
+        engineSocket.setTcpNoDelay(true);
+        DaemonThreads.start("fault proxy", () -> forward(managerSocket, engineSocket, false));
+        forward(engineSocket, managerSocket, true);
     }
 
-    private void pass(Socket from, Socket to, boolean fromEngine) throws IOException {
+    private void forward(Socket from, Socket to, boolean fromEngine) throws IOException {
         byte[] bytes = new byte[8_192];
         try {
             InputStream in = from.getInputStream();
             for (int count = in.read(bytes); count >= 0; count = in.read(bytes)) {
-                write(to, bytes, count, fromEngine);
+                writeWithFault(to, bytes, count, fromEngine);
             }
         } finally {
             reset(from);
@@ -99,20 +99,20 @@
         }
     }
 
-    private void write(Socket to, byte[] bytes, int count, boolean fromEngine) throws IOException {
+    private void writeWithFault(Socket to, byte[] bytes, int count, boolean fromEngine) throws IOException {
         OutputStream out = to.getOutputStream();
         switch (fault) {
-            case SILENT -> { }
-            case RESET -> throw new IOException("to be reset");
-            case HALF -> {
+            case DISCARD -> { }
+            case RESET -> throw new IOException("connection reset by the injected fault");
+            case TRUNCATE -> {
                 out.write(bytes, 0, fromEngine ? count / 2 : count);
                 if (fromEngine) {
-                    throw new IOException("to be reset");
+                    throw new IOException("connection reset by the injected fault");
                 }
             }
-            case PIECES -> {
-                for (int at = 0; at < count; at += PIECE) {
-                    out.write(bytes, at, Math.min(PIECE, count - at));
+            case FRAGMENT -> {
+                for (int offset = 0; offset < count; offset += FRAGMENT_BYTES) {
+                    out.write(bytes, offset, Math.min(FRAGMENT_BYTES, count - offset));
                 }
             }
             default -> out.write(bytes, 0, count);
@@ -124,7 +124,7 @@
             socket.setSoLinger(true, 0);
             socket.close();
         } catch (IOException e) {
-            // It has ended already.
+            // The socket is closed already.
         }
     }
 
--- a/src/test/java/cairnline/program/FrameClient.java
+++ b/src/test/java/cairnline/program/FrameClient.java
@@ -15,54 +15,57 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** A client connection that records what it sent and what came back; times are from {@link System#nanoTime}. */
+/**
+ * A client connection to a workload manager that records requests and their answers. All times are values of
+ * {@link System#nanoTime}, 0 for what has not happened yet.
+ */
 final class FrameClient implements AutoCloseable {
-    private static final int LONGEST_FRAME = 300_000;
-    private static final AtomicLong CALLS = new AtomicLong(0x1000);
+    private static final int MAX_FRAME_BYTES = 300_000;
+    private static final AtomicLong LAST_CALL_ID = new AtomicLong(0x1000);
 
     private final Socket socket;
     private final OutputStream out;
-    private final Map<Long, Call> byStream = new ConcurrentHashMap<>();
+    private final Map<Long, Call> callsByStream = new ConcurrentHashMap<>();
     private final List<Call> calls = new ArrayList<>();
-    private final CompletableFuture<Long> ended = new CompletableFuture<>();
-    private long stream;
-    private volatile boolean heard;
-    private volatile long leftAt;
+    private final CompletableFuture<Long> endOfStream = new CompletableFuture<>();
+    private long lastStream;
+    private volatile boolean frameReceived;
+    private volatile long outputClosedAt;
     private volatile long closedAt;
 
-    /** One request; {@code writtenAt} is 0 until its last byte was written. */
+    /** A request; {@code writtenAt} is 0 until its last byte has been written. */
     static final class Call {
         final String id;
-        final String type;
-        final String key;
+        final String requestClass;
+        final String orderingKey;
         final long stream;
-        final long ttlMs;
+        final long timeoutMillis;
         final CompletableFuture<Integer> code = new CompletableFuture<>();
         volatile long writtenAt;
         volatile long cancelledAt;
-        /** The client left, or spoilt what follows, before this request was whole: no answer is owed. */
-        volatile boolean notOwed;
-        volatile int answers;
+        /** No answer is expected, since the client closed or corrupted the connection before the request was complete. */
+        volatile boolean answerNotExpected;
+        volatile int answerCount;
         volatile String rows;
 
-        Call(String type, String key, long stream, long ttlMs) {
-            this.id = String.format("%016x", CALLS.incrementAndGet());
-            this.type = type;
-            this.key = key;
+        Call(String requestClass, String orderingKey, long stream, long timeoutMillis) {
+            this.id = String.format("%016x", LAST_CALL_ID.incrementAndGet());
+            this.requestClass = requestClass;
+            this.orderingKey = orderingKey;
             this.stream = stream;
-            this.ttlMs = ttlMs;
+            this.timeoutMillis = timeoutMillis;
         }
 
         byte[] frame() {
             Map<String, String> fields = new LinkedHashMap<>();
-            fields.put("op", type);
+            fields.put("op", requestClass);
             fields.put("call", id);
-            fields.put("ttl", Long.toString(ttlMs));
+            fields.put("ttl", Long.toString(timeoutMillis));
             fields.put("work", "20.0");
             fields.put("heap", "8");
-            if (key != null) {
+            if (orderingKey != null) {
                 fields.put("dedupe", "d" + id);
-                fields.put("row", key);
+                fields.put("row", orderingKey);
             }
             return ClientFrames.request(stream, fields, "select title from sales_7.books".getBytes(StandardCharsets.UTF_8));
         }
@@ -72,21 +75,22 @@
         socket = new Socket(InetAddress.getByName("127.0.0.1"), port);
         socket.setTcpNoDelay(true);
         out = socket.getOutputStream();
-        Thread reader = new Thread(null, this::read, "frame client", 256 * 1_024);
+        Thread reader = new Thread(null, this::readFrames, "frame client", 256 * 1_024);
         reader.setDaemon(true);
         reader.start();
     }
 
-    /** A request on the next stream that is not written yet. */
-    synchronized Call next(String type, String key, long ttlMs) {
-        Call call = new Call(type, key, ++stream, ttlMs);
-        byStream.put(call.stream, call);
+    /** Creates and records a request on the next stream without writing it. */
+    synchronized Call prepare(String requestClass, String orderingKey, long timeoutMillis) {
+        Call call = new Call(requestClass, orderingKey, ++lastStream, timeoutMillis);
+        callsByStream.put(call.stream, call);
         calls.add(call);
         return call;
     }
 
-    Call ask(String type, String key, long ttlMs) throws IOException {
-        Call call = next(type, key, ttlMs);
+    /** Creates, records and writes a request. */
+    Call send(String requestClass, String orderingKey, long timeoutMillis) throws IOException {
+        Call call = prepare(requestClass, orderingKey, timeoutMillis);
         write(call.frame());
         call.writtenAt = System.nanoTime();
         return call;
@@ -101,78 +105,79 @@
         out.write(bytes);
     }
 
-    private void leave() {
-        leftAt = leftAt == 0 ? System.nanoTime() : leftAt;
+    private void markOutputClosed() {
+        outputClosedAt = outputClosedAt == 0 ? System.nanoTime() : outputClosedAt;
     }
 
     void halfClose() throws IOException {
         socket.shutdownOutput();
-        leave();
+        markOutputClosed();
     }
 
-    /** Whether anything whole but an error of the connection has come. */
-    boolean hasHeard() {
-        return heard;
+    /** Returns whether a complete frame other than a connection-level error has been received. */
+    boolean hasReceivedFrame() {
+        return frameReceived;
     }
 
-    /** When this side closed it; 0 before. */
+    /** Returns when this side closed the connection; 0 if it has not. */
     long closedAt() {
         return closedAt;
     }
 
-    /** By when this side had closed it or said its last; 0 before. */
-    long leftAt() {
-        return leftAt;
+    /** Returns the time by which this side had closed the connection or its output; 0 if it has done neither. */
+    long outputClosedAt() {
+        return outputClosedAt;
     }
 
+    /** Closes the connection with a TCP reset. */
     void reset() throws IOException {
         closedAt = closedAt == 0 ? System.nanoTime() : closedAt;
         socket.setSoLinger(true, 0);
         socket.close();
-        leave();
+        markOutputClosed();
     }
 
     synchronized List<Call> calls() {
         return List.copyOf(calls);
     }
 
-    /** When the other side ended the connection. */
-    CompletableFuture<Long> ended() {
-        return ended;
+    /** Completes with the time at which reading ended, because either side closed or reset the connection. */
+    CompletableFuture<Long> endOfStream() {
+        return endOfStream;
     }
 
-    private void read() {
-        ClientFrames frames = new ClientFrames(LONGEST_FRAME);
+    private void readFrames() {
+        ClientFrames frames = new ClientFrames(MAX_FRAME_BYTES);
         byte[] bytes = new byte[8_192];
         try {
             for (int count = socket.getInputStream().read(bytes); count >= 0; count = socket.getInputStream().read(bytes)) {
                 frames.feed(bytes, count);
                 for (ClientFrames.Frame frame = frames.next(); frame != null; frame = frames.next()) {
-                    take(frame);
+                    handle(frame);
                 }
             }
         } catch (IOException e) {
-            // A reset ends the connection as well.
+            // A reset ends the stream like an orderly close.
         }
         try {
             socket.close();
         } catch (IOException e) {
-            // It has ended either way.
+            // The connection is closed in any case.
         }
-        ended.complete(System.nanoTime());
+        endOfStream.complete(System.nanoTime());
     }
 
-    private void take(ClientFrames.Frame frame) {
-        Call call = frame.type() == ClientFrames.ANSWER ? byStream.get(frame.stream()) : null;
-        heard |= frame.type() != ClientFrames.ANSWER || frame.stream() > 0;
+    private void handle(ClientFrames.Frame frame) {
+        Call call = frame.type() == ClientFrames.ANSWER ? callsByStream.get(frame.stream()) : null;
+        frameReceived |= frame.type() != ClientFrames.ANSWER || frame.stream() > 0;
         if (call != null) {
-            call.answers++;
-            call.rows = new String(ClientFrames.content(tail(frame.payload())).body(), StandardCharsets.UTF_8);
+            call.answerCount++;
+            call.rows = new String(ClientFrames.content(withoutFirstByte(frame.payload())).body(), StandardCharsets.UTF_8);
             call.code.complete((int) frame.payload()[0]);
         }
     }
 
-    private static byte[] tail(byte[] payload) {
+    private static byte[] withoutFirstByte(byte[] payload) {
         return Arrays.copyOfRange(payload, 1, payload.length);
     }
 
@@ -180,6 +185,6 @@
     public void close() throws IOException {
         closedAt = closedAt == 0 ? System.nanoTime() : closedAt;
         socket.close();
-        leave();
+        markOutputClosed();
     }
 }
--- a/src/test/java/cairnline/program/LazyEventLoop.java
+++ b/src/test/java/cairnline/program/LazyEventLoop.java
@@ -5,7 +5,7 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 
-/** The event loop of a wire, started when it is first asked for. */
+/** The event loop of a protocol fixture, created and started on first use. */
 final class LazyEventLoop implements AutoCloseable {
     private EventLoop loop;
 
--- a/src/test/java/cairnline/program/MemoryTest.java
+++ b/src/test/java/cairnline/program/MemoryTest.java
@@ -22,22 +22,25 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Clients that hold memory, beside one that goes on asking; the heap is that of {@code run}. */
+/**
+ * Requests of a client do not fail while stalled clients make the workload manager hold answers or incomplete statements in
+ * memory. The process runs with its production heap size.
+ */
 class MemoryTest {
-    private static final long LIMIT_S = 30;
-    private static final int CLIENTS = 150;
-    private static final int REQUESTS = 30;
-    private static final int PAGE = 6_000;
-    private static final int STATEMENT = 260_000;
+    private static final long TIMEOUT_SECONDS = 30;
+    private static final int STALLED_CLIENTS = 150;
+    private static final int REQUESTS_PER_CLIENT = 30;
+    private static final int PAGE_BYTES = 6_000;
+    private static final int STATEMENT_BYTES = 260_000;
 
     @TempDir
     Path folder;
 
-    /** An engine each of whose answers is one full page. */
-    private static final class LargeAnswers implements AutoCloseable {
+    /** An engine that answers each request with eight full pages. */
+    private static final class LargeAnswerEngine implements AutoCloseable {
         private final ServerSocket server = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
 
-        LargeAnswers() throws IOException {
+        LargeAnswerEngine() throws IOException {
             DaemonThreads.start("large answers", () -> {
                 while (true) {
                     Socket socket = server.accept();
@@ -47,11 +50,11 @@
         }
 
         private static void serve(Socket socket) throws IOException {
-            byte[] rows = new byte[PAGE];
+            byte[] rows = new byte[PAGE_BYTES];
             Arrays.fill(rows, (byte) 'x');
             rows[1] = '\t';
             rows[3] = '\t';
-            rows[PAGE - 1] = '\n';
+            rows[PAGE_BYTES - 1] = '\n';
             Resp resp = new Resp(5, 300_000);
             byte[] bytes = new byte[8_192];
             InputStream in = socket.getInputStream();
@@ -64,16 +67,16 @@
         }
 
         private static void answer(Socket socket, List<byte[]> parts, byte[] rows) throws IOException {
-            String word = new String(parts.get(0), StandardCharsets.UTF_8);
+            String command = new String(parts.get(0), StandardCharsets.UTF_8);
             byte[] id = parts.get(1);
-            byte[] none = {};
-            switch (word) {
+            byte[] emptyBody = {};
+            switch (command) {
                 case "do" -> socket.getOutputStream().write(Resp.array(id, "ACK".getBytes(StandardCharsets.UTF_8),
                         "parts=8,work=1.0,peak=1".getBytes(StandardCharsets.UTF_8), rows));
                 case "page" -> socket.getOutputStream().write(Resp.array(id, "BLOCK".getBytes(StandardCharsets.UTF_8),
                         ("part_no=" + new String(parts.get(2), StandardCharsets.UTF_8)).getBytes(StandardCharsets.UTF_8), rows));
                 case "top" -> socket.getOutputStream().write(Resp.array(id, "READY".getBytes(StandardCharsets.UTF_8),
-                        "report=inflight:0;util:0;x0:0;x1:0".getBytes(StandardCharsets.UTF_8), none));
+                        "report=inflight:0;util:0;x0:0;x1:0".getBytes(StandardCharsets.UTF_8), emptyBody));
                 default -> { }
             }
         }
@@ -84,18 +87,19 @@
         }
     }
 
-    private ManagerProcess start(StandInFeed feed, LargeAnswers engine) throws Exception {
-        feed.publish(true, List.of(new StandInFeed.EngineEntry("s-1", "127.0.0.1:" + engine.server.getLocalPort(), "in_service", 0)));
+    private ManagerProcess start(StandInFeed feed, LargeAnswerEngine engine) throws Exception {
+        feed.publish(true, List.of(new StandInFeed.EngineEntry("s-1", "127.0.0.1:" + engine.server.getLocalPort(),
+                "in_service", 0)));
         ManagerProcess manager = new ManagerProcess(folder, 0, 1, feed.address(), null);
         manager.start();
-        ReadinessCheck.await(manager.port(), LIMIT_S);
+        ReadinessCheck.await(manager.port(), TIMEOUT_SECONDS);
         return manager;
     }
 
     private static void assertServes(ManagerProcess manager) throws Exception {
         try (FrameClient client = new FrameClient(manager.port())) {
-            for (int i = 0; i < REQUESTS; i++) {
-                int code = client.ask("lookup", null, 7_000).code.get(LIMIT_S, TimeUnit.SECONDS);
+            for (int i = 0; i < REQUESTS_PER_CLIENT; i++) {
+                int code = client.send("lookup", null, 7_000).code.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
                 assertTrue(code != ClientFrames.CODE_FAILED, manager.readLog());
             }
         }
@@ -103,22 +107,22 @@
     }
 
     @Test
-    void answersThatNobodyReadsEndNothing() throws Exception {
-        try (LargeAnswers engine = new LargeAnswers(); StandInFeed feed = new StandInFeed();
+    void survivesClientsThatDoNotReadAnswers() throws Exception {
+        try (LargeAnswerEngine engine = new LargeAnswerEngine(); StandInFeed feed = new StandInFeed();
                 ManagerProcess manager = start(feed, engine)) {
-            List<Socket> silent = new ArrayList<>();
-            for (int i = 0; i < CLIENTS; i++) {
+            List<Socket> stalledConnections = new ArrayList<>();
+            for (int i = 0; i < STALLED_CLIENTS; i++) {
                 Socket socket = new Socket();
                 socket.setReceiveBufferSize(4_096);
                 socket.connect(new InetSocketAddress("127.0.0.1", manager.port()));
-                silent.add(socket);
-                for (int stream = 1; stream <= REQUESTS; stream++) {
+                stalledConnections.add(socket);
+                for (int stream = 1; stream <= REQUESTS_PER_CLIENT; stream++) {
                     socket.getOutputStream().write(ClientFrames.request(stream, Map.of("op", "lookup", "ttl", "7000",
                             "call", String.format("%08x%08x", i + 1, stream), "work", "1.0"), "select 1".getBytes()));
                 }
             }
             assertServes(manager);
-            for (Socket socket : silent) {
+            for (Socket socket : stalledConnections) {
                 socket.close();
             }
             assertEquals(0, manager.stop(), manager.readLog());
@@ -126,21 +130,21 @@
     }
 
     @Test
-    void statementsThatAreHalfSentEndNothing() throws Exception {
-        try (LargeAnswers engine = new LargeAnswers(); StandInFeed feed = new StandInFeed();
+    void survivesClientsThatSendIncompleteStatements() throws Exception {
+        try (LargeAnswerEngine engine = new LargeAnswerEngine(); StandInFeed feed = new StandInFeed();
                 ManagerProcess manager = start(feed, engine)) {
-            byte[] half = new byte[STATEMENT - 10_000];
-            half[1] = (byte) (STATEMENT >> 16);
-            half[2] = (byte) (STATEMENT >> 8);
-            half[8] = 1;
-            List<Socket> silent = new ArrayList<>();
-            for (int i = 0; i < CLIENTS; i++) {
+            byte[] incompleteFrame = new byte[STATEMENT_BYTES - 10_000];
+            incompleteFrame[1] = (byte) (STATEMENT_BYTES >> 16);
+            incompleteFrame[2] = (byte) (STATEMENT_BYTES >> 8);
+            incompleteFrame[8] = 1;
+            List<Socket> stalledConnections = new ArrayList<>();
+            for (int i = 0; i < STALLED_CLIENTS; i++) {
                 Socket socket = new Socket(InetAddress.getByName("127.0.0.1"), manager.port());
-                silent.add(socket);
-                socket.getOutputStream().write(half);
+                stalledConnections.add(socket);
+                socket.getOutputStream().write(incompleteFrame);
             }
             assertServes(manager);
-            for (Socket socket : silent) {
+            for (Socket socket : stalledConnections) {
                 socket.close();
             }
             assertEquals(0, manager.stop(), manager.readLog());
--- a/src/test/java/cairnline/program/RecordingEngine.java
+++ b/src/test/java/cairnline/program/RecordingEngine.java
@@ -16,38 +16,41 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 
-/** An engine with a seed that answers well or badly and records each attempt; times are from {@link System#nanoTime}. */
+/**
+ * A RESP engine whose seed determines which attempts succeed, fail or get no answer, and which records each attempt. Times
+ * are values of {@link System#nanoTime}.
+ */
 final class RecordingEngine implements AutoCloseable {
-    private static final int STACK = 256 * 1_024;
-    private static final int DELAY_MOST_MS = 60;
+    private static final int THREAD_STACK_BYTES = 256 * 1_024;
+    private static final int MAX_DELAY_MILLIS = 60;
 
     private final String name;
     private final Random random;
     private final ServerSocket server;
     private final ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor(task -> {
-        Thread thread = new Thread(null, task, "recording engine", STACK);
+        Thread thread = new Thread(null, task, "recording engine", THREAD_STACK_BYTES);
         thread.setDaemon(true);
         return thread;
     });
     private final ConcurrentLinkedQueue<Attempt> attempts = new ConcurrentLinkedQueue<>();
     private volatile boolean hanging;
 
-    /** One attempt as it came; {@code endedAt} is 0 while it runs. */
+    /** A received attempt; {@code endedAt} is 0 while it runs. */
     static final class Attempt {
         final String engine;
         final String id;
         final String profile;
-        final long maxMs;
+        final long timeLimitMillis;
         final long arrivedAt;
         volatile long endedAt;
-        /** The engine's answer says that it never ran. */
+        /** Whether the engine answered that the attempt never ran. */
         volatile boolean neverRan;
 
         Attempt(String engine, String id, Map<String, String> fields) {
             this.engine = engine;
             this.id = id;
             this.profile = fields.get("profile");
-            this.maxMs = Long.parseLong(fields.get("max"));
+            this.timeLimitMillis = Long.parseLong(fields.get("max"));
             this.arrivedAt = System.nanoTime();
         }
     }
@@ -56,15 +59,15 @@
         this.name = name;
         this.random = new Random(seed);
         server = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
-        DaemonThreads.start("recording engine", this::accept);
+        DaemonThreads.start("recording engine", this::acceptConnections);
     }
 
     int port() {
         return server.getLocalPort();
     }
 
-    /** From now on it answers nothing, or answers again. */
-    void hang(boolean hangs) {
+    /** Stops or resumes answering; attempts and probes received meanwhile are never answered. */
+    void setHanging(boolean hangs) {
         hanging = hangs;
     }
 
@@ -72,7 +75,7 @@
         return List.copyOf(attempts);
     }
 
-    private void accept() throws IOException {
+    private void acceptConnections() throws IOException {
         while (true) {
             Socket socket = server.accept();
             DaemonThreads.start("recording engine", () -> serve(socket));
@@ -89,31 +92,31 @@
             for (int count = in.read(bytes); count >= 0; count = in.read(bytes)) {
                 resp.feed(bytes, count);
                 for (List<byte[]> parts = resp.next(); parts != null; parts = resp.next()) {
-                    take(socket, running, parts.stream().map(part -> new String(part, StandardCharsets.UTF_8)).toList());
+                    handle(socket, running, parts.stream().map(part -> new String(part, StandardCharsets.UTF_8)).toList());
                 }
             }
         } finally {
-            running.values().forEach(RecordingEngine::end);
+            running.values().forEach(RecordingEngine::markEnded);
         }
     }
 
-    private static void end(Attempt attempt) {
+    private static void markEnded(Attempt attempt) {
         attempt.endedAt = System.nanoTime();
     }
 
-    private void take(Socket socket, Map<String, Attempt> running, List<String> command) {
+    private void handle(Socket socket, Map<String, Attempt> running, List<String> command) {
         String id = command.get(1);
         switch (command.get(0)) {
             case "do" -> {
                 Attempt attempt = new Attempt(name, id, Resp.fields(command.get(2)));
                 attempts.add(attempt);
                 running.put(id, attempt);
-                decide(socket, running, attempt);
+                scheduleAnswer(socket, running, attempt);
             }
             case "undo" -> {
-                Attempt undone = running.remove(id);
-                if (undone != null) {
-                    end(undone);
+                Attempt cancelled = running.remove(id);
+                if (cancelled != null) {
+                    markEnded(cancelled);
                 }
             }
             case "page" -> write(socket, Resp.words(id, "BLOCK", "part_no=" + command.get(2), "page-of-" + id + "\t\t\n"));
@@ -126,9 +129,9 @@
         }
     }
 
-    private synchronized void decide(Socket socket, Map<String, Attempt> running, Attempt attempt) {
+    private synchronized void scheduleAnswer(Socket socket, Map<String, Attempt> running, Attempt attempt) {
         int draw = random.nextInt(100);
-        long delay = random.nextInt(DELAY_MOST_MS);
+        long delay = random.nextInt(MAX_DELAY_MILLIS);
         String id = attempt.id;
         if (hanging || draw < 3) {
             return;
@@ -142,7 +145,7 @@
         timer.schedule(() -> {
             if (running.remove(id, attempt)) {
                 attempt.neverRan = neverRan;
-                end(attempt);
+                markEnded(attempt);
                 write(socket, answer);
                 if (draw >= 97) {
                     write(socket, answer);
@@ -157,7 +160,7 @@
         try {
             socket.getOutputStream().write(bytes);
         } catch (IOException e) {
-            // It has hung up; what ran for it has run.
+            // The manager has closed the connection; the attempt has run all the same.
         }
     }
 
--- a/src/test/java/cairnline/program/SoakClient.java
+++ b/src/test/java/cairnline/program/SoakClient.java
@@ -7,29 +7,32 @@
 import java.util.Random;
 import java.util.concurrent.TimeUnit;
 
-/** A client of a fault soak: it asks, cancels, half-closes, breaks frames and leaves, as its seed draws. */
+/**
+ * A client of the fault soak that, as drawn from its seed, sends requests, cancels them, sends malformed frames, half-closes,
+ * closes or resets its connection, and reconnects.
+ */
 final class SoakClient implements Runnable {
-    private static final int KEY_PAUSE_MS = 60;
-    private static final int KEY_PAUSE_NEW_MS = 250;
-    private static final int BURST_MOST = 20;
-    private static final int TTL_LEAST_MS = 200;
-    private static final int TTL_SPAN_MS = 2_300;
-    private static final byte[] UNREADABLE = {0, 0, 0, 0};
-    private static final byte[] BEGUN = {0, 0, 0, 99, 0, 0, 0};
+    private static final int ORDERED_REQUEST_INTERVAL_MILLIS = 60;
+    private static final int ORDERED_REQUEST_DELAY_AFTER_CONNECT_MILLIS = 250;
+    private static final int MAX_BURST_REQUESTS = 20;
+    private static final int MIN_TIMEOUT_MILLIS = 200;
+    private static final int TIMEOUT_RANGE_MILLIS = 2_300;
+    private static final byte[] MALFORMED_FRAME = {0, 0, 0, 0};
+    private static final byte[] INCOMPLETE_FRAME = {0, 0, 0, 99, 0, 0, 0};
 
     private final Random random;
     private final int port;
-    /** This client's own key, so that requests with it are written in order and apart. */
-    private final String key;
+    /** An ordering key that no other client uses, so that requests with it are sent in order and at intervals. */
+    private final String orderingKey;
     private final List<FrameClient> connections = new ArrayList<>();
     private FrameClient current;
-    private long keyFreeAt;
+    private long nextOrderedRequestAt;
     private volatile boolean stopped;
 
-    SoakClient(long seed, int port, int number) {
+    SoakClient(long seed, int port, int clientIndex) {
         this.random = new Random(seed);
         this.port = port;
-        this.key = String.format("%016x", 0xa000 + number);
+        this.orderingKey = String.format("%016x", 0xa000 + clientIndex);
     }
 
     void stop() {
@@ -40,19 +43,19 @@
         return connections;
     }
 
-    /** Asks until it is stopped and its connection has ended, or none can be had any more. */
+    /** Sends requests until it has been stopped and its connection has closed, or until no connection can be established. */
     @Override
     public void run() {
         try {
-            while (!stopped || current != null && !current.ended().isDone()) {
-                if (current == null || current.ended().isDone()) {
+            while (!stopped || current != null && !current.endOfStream().isDone()) {
+                if (current == null || current.endOfStream().isDone()) {
                     connect();
                 }
                 act();
                 TimeUnit.MILLISECONDS.sleep(random.nextInt(12));
             }
         } catch (IOException e) {
-            // The workload manager takes no connection any more.
+            // The workload manager no longer accepts connections.
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -61,49 +64,49 @@
     private void connect() throws IOException {
         current = new FrameClient(port);
         connections.add(current);
-        keyFreeAt = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(KEY_PAUSE_NEW_MS);
+        nextOrderedRequestAt = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ORDERED_REQUEST_DELAY_AFTER_CONNECT_MILLIS);
     }
 
     private void act() {
         try {
             int draw = random.nextInt(100);
             if (stopped || draw < 70) {
-                ask();
+                sendOne();
             } else if (draw < 80) {
-                burst();
+                sendBurst();
             } else if (draw < 90) {
-                cancelOne();
+                cancelRandomRequest();
             } else if (draw < 93) {
-                slowly();
+                sendInTwoPieces();
             } else {
-                leave(draw);
+                sendAndDisconnect(draw);
             }
         } catch (IOException e) {
-            // The connection has ended: what was not written whole is not owed.
+            // The connection is closed; no answer is expected to a request that was not written completely.
         }
     }
 
-    private int ttl() {
-        return TTL_LEAST_MS + random.nextInt(TTL_SPAN_MS);
+    private int randomTimeoutMillis() {
+        return MIN_TIMEOUT_MILLIS + random.nextInt(TIMEOUT_RANGE_MILLIS);
     }
 
-    private void ask() throws IOException {
+    private void sendOne() throws IOException {
         int draw = random.nextInt(10);
-        if (draw < 3 && System.nanoTime() >= keyFreeAt) {
-            keyFreeAt = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(KEY_PAUSE_MS);
-            current.ask("load", key, ttl());
+        if (draw < 3 && System.nanoTime() >= nextOrderedRequestAt) {
+            nextOrderedRequestAt = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ORDERED_REQUEST_INTERVAL_MILLIS);
+            current.send("load", orderingKey, randomTimeoutMillis());
         } else {
-            current.ask(draw < 5 ? "once" : draw < 7 ? "report" : "lookup", null, ttl());
+            current.send(draw < 5 ? "once" : draw < 7 ? "report" : "lookup", null, randomTimeoutMillis());
         }
     }
 
-    private void burst() throws IOException {
-        for (int i = random.nextInt(BURST_MOST); i >= 0; i--) {
-            current.ask("lookup", null, ttl());
+    private void sendBurst() throws IOException {
+        for (int i = random.nextInt(MAX_BURST_REQUESTS); i >= 0; i--) {
+            current.send("lookup", null, randomTimeoutMillis());
         }
     }
 
-    private void cancelOne() throws IOException {
+    private void cancelRandomRequest() throws IOException {
         List<FrameClient.Call> calls = current.calls();
         if (!calls.isEmpty()) {
             FrameClient.Call call = calls.get(random.nextInt(calls.size()));
@@ -113,9 +116,9 @@
         }
     }
 
-    /** A request in two pieces, with another connection's traffic between them. */
-    private void slowly() throws IOException {
-        FrameClient.Call call = current.next("lookup", null, ttl());
+    /** Sends a request in two pieces; other connections' traffic can come in between. */
+    private void sendInTwoPieces() throws IOException {
+        FrameClient.Call call = current.prepare("lookup", null, randomTimeoutMillis());
         byte[] frame = call.frame();
         byte[] first = Arrays.copyOf(frame, frame.length / 2);
         byte[] second = Arrays.copyOfRange(frame, frame.length / 2, frame.length);
@@ -125,16 +128,17 @@
         call.writtenAt = System.nanoTime();
     }
 
-    private void leave(int draw) throws IOException {
-        ask();
-        FrameClient left = current;
+    /** Sends a request and then corrupts, half-closes, closes or resets the connection, which is not used again. */
+    private void sendAndDisconnect(int draw) throws IOException {
+        sendOne();
+        FrameClient abandoned = current;
         current = null;
         switch (draw) {
-            case 93, 94 -> left.write(UNREADABLE);
-            case 95 -> left.write(BEGUN);
-            case 96, 97 -> left.halfClose();
-            case 98 -> left.close();
-            default -> left.reset();
+            case 93, 94 -> abandoned.write(MALFORMED_FRAME);
+            case 95 -> abandoned.write(INCOMPLETE_FRAME);
+            case 96, 97 -> abandoned.halfClose();
+            case 98 -> abandoned.close();
+            default -> abandoned.reset();
         }
     }
 }
--- a/src/test/java/cairnline/program/SoakInvariants.java
+++ b/src/test/java/cairnline/program/SoakInvariants.java
@@ -12,156 +12,173 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 
-/** The rules of the service, checked over what clients and engines recorded. */
+/** Checks the rules of the service against what clients and engines recorded in a soak run. */
 final class SoakInvariants {
-    private static final long CROSSING_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
-    private static final long GONE_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
-    private static final long DEADLINE_SLACK_MS = 150;
-    private static final long GIVEN_UP_SLACK_MS = 50;
+    /** A request written this shortly before its connection closed may have crossed the close and needs no answer. */
+    private static final long CROSSING_TOLERANCE_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
+    /** How long after its client has gone, or has cancelled it, an attempt of a request may still arrive at an engine. */
+    private static final long ABANDONED_TOLERANCE_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
+    /** By how much the time limit of an attempt may exceed the time left to the client's deadline, as measured here. */
+    private static final long DEADLINE_TOLERANCE_MILLIS = 150;
+    /** The manager may give an attempt up this long before its time limit has passed at the engine. */
+    private static final long GIVE_UP_TOLERANCE_MILLIS = 50;
 
     private final List<Attempt> attempts = new ArrayList<>();
     private final List<SoakClient> clients;
-    private final Map<String, Long> drainedAt;
-    private final boolean crowded;
-    private final StallMonitor monitor;
-    private final Set<String> attempted = new HashSet<>();
-    private final Map<String, Call> calls = new HashMap<>();
-    private final Map<String, FrameClient> connections = new HashMap<>();
+    private final Map<String, Long> drainDeadlines;
+    private final boolean connectionsFlooded;
+    private final StallMonitor stallMonitor;
+    private final Set<String> attemptedIds = new HashSet<>();
+    private final Map<String, Call> callsById = new HashMap<>();
+    private final Map<String, FrameClient> connectionsById = new HashMap<>();
 
-    SoakInvariants(List<RecordingEngine> engines, List<SoakClient> clients, Map<String, Long> drainedAt,
-                boolean crowded, StallMonitor monitor) {
+    SoakInvariants(List<RecordingEngine> engines, List<SoakClient> clients, Map<String, Long> drainDeadlines,
+            boolean connectionsFlooded, StallMonitor stallMonitor) {
         engines.forEach(engine -> attempts.addAll(engine.attempts()));
         attempts.sort(Comparator.comparingLong(attempt -> attempt.arrivedAt));
         this.clients = clients;
-        this.drainedAt = drainedAt;
-        this.crowded = crowded;
-        this.monitor = monitor;
-        attempts.forEach(attempt -> attempted.add(attempt.id));
+        this.drainDeadlines = drainDeadlines;
+        this.connectionsFlooded = connectionsFlooded;
+        this.stallMonitor = stallMonitor;
+        attempts.forEach(attempt -> attemptedIds.add(attempt.id));
         for (SoakClient client : clients) {
             for (FrameClient connection : client.connections()) {
                 for (Call call : connection.calls()) {
-                    calls.put(call.id, call);
-                    connections.put(call.id, connection);
+                    callsById.put(call.id, call);
+                    connectionsById.put(call.id, connection);
                 }
             }
         }
     }
 
-    /** Adds a line for each rule that is broken. */
-    void check(List<String> broken) {
+    /** Adds a line for each violation found. */
+    void check(List<String> violations) {
         for (SoakClient client : clients) {
             for (FrameClient connection : client.connections()) {
-                connection.calls().forEach(call -> checkAnswer(connection, call, broken));
+                connection.calls().forEach(call -> checkAnswer(connection, call, violations));
             }
         }
-        attempts.forEach(attempt -> checkAttempt(attempt, broken));
-        checkUnsafe(broken);
-        checkOrder(broken);
+        attempts.forEach(attempt -> checkAttempt(attempt, violations));
+        checkUnsafeRequests(violations);
+        checkOrderingKeys(violations);
     }
 
-    private void checkAnswer(FrameClient connection, Call call, List<String> broken) {
-        if (call.answers > 1) {
-            broken.add(call.id + ": " + call.answers + " answers");
+    private void checkAnswer(FrameClient connection, Call call, List<String> violations) {
+        if (call.answerCount > 1) {
+            violations.add(call.id + ": " + call.answerCount + " answers");
         }
         if (call.code.isDone()) {
-            checkRows(call, broken);
+            checkRows(call, violations);
             return;
         }
         boolean cancelled = call.cancelledAt > 0;
-        if (call.writtenAt == 0 || cancelled || crowded && isShutUnread(connection)) {
+        if (call.writtenAt == 0 || cancelled || connectionsFlooded && isRejectedUnread(connection)) {
             return;
         }
         boolean closedByClient = connection.closedAt() > 0
-                && (!connection.ended().isDone() || connection.closedAt() <= connection.ended().join());
-        boolean crossed = connection.ended().isDone() && call.writtenAt > connection.ended().join() - CROSSING_NANOS;
+                && (!connection.endOfStream().isDone() || connection.closedAt() <= connection.endOfStream().join());
+        boolean crossed = connection.endOfStream().isDone()
+                && call.writtenAt > connection.endOfStream().join() - CROSSING_TOLERANCE_NANOS;
         if (!closedByClient && !crossed) {
-            broken.add(call.id + " (" + call.type + ", " + call.ttlMs + " ms): no answer, "
-                    + (connection.ended().isDone() ? "its connection ended after "
-                    + (connection.ended().join() - call.writtenAt) / 1_000_000 + " ms" : "its connection is open")
-                    + attemptsOf(call));
+            violations.add(call.id + " (" + call.requestClass + ", " + call.timeoutMillis + " ms): not answered, "
+                    + (connection.endOfStream().isDone() ? "connection closed after "
+                    + (connection.endOfStream().join() - call.writtenAt) / 1_000_000 + " ms" : "connection still open")
+                    + describeAttempts(call));
         }
     }
 
-    /** Whether a new connection was turned away in a crowd: nothing was heard there, and nothing of it went out. */
-    private boolean isShutUnread(FrameClient connection) {
-        return connection.ended().isDone() && !connection.hasHeard()
-                && connection.calls().stream().noneMatch(call -> attempted.contains(call.id));
+    /**
+     * Returns whether a connection was rejected in a connection flood before anything was read from it: no frame was received
+     * on it, and no request from it was attempted.
+     */
+    private boolean isRejectedUnread(FrameClient connection) {
+        return connection.endOfStream().isDone() && !connection.hasReceivedFrame()
+                && connection.calls().stream().noneMatch(call -> attemptedIds.contains(call.id));
     }
 
-    private String attemptsOf(Call call) {
+    private String describeAttempts(Call call) {
         StringBuilder text = new StringBuilder();
         attempts.stream().filter(attempt -> attempt.id.equals(call.id)).forEach(attempt -> text.append(", at ")
                 .append(attempt.engine).append(" after ").append((attempt.arrivedAt - call.writtenAt) / 1_000_000).append(" ms"));
         return text.toString();
     }
 
-    private static void checkRows(Call call, List<String> broken) {
+    private static void checkRows(Call call, List<String> violations) {
         boolean served = call.code.join() == ClientFrames.CODE_SERVED;
-        String one = "row-of-" + call.id + "\t\t\n";
-        String two = one + "page-of-" + call.id + "\t\t\n";
-        if (served && !call.rows.equals(one) && !call.rows.equals(two)) {
-            broken.add(call.id + ": served with rows that no engine made: " + call.rows);
+        String onePage = "row-of-" + call.id + "\t\t\n";
+        String twoPages = onePage + "page-of-" + call.id + "\t\t\n";
+        if (served && !call.rows.equals(onePage) && !call.rows.equals(twoPages)) {
+            violations.add(call.id + ": served with rows that no engine returned: " + call.rows);
         }
     }
 
-    private void checkAttempt(Attempt attempt, List<String> broken) {
-        Call call = calls.get(attempt.id);
+    private void checkAttempt(Attempt attempt, List<String> violations) {
+        Call call = callsById.get(attempt.id);
         if (call == null) {
-            broken.add(attempt.id + ": no client asked it");
+            violations.add(attempt.id + ": attempted but not requested by any client");
             return;
         }
-        Long drained = drainedAt.get(attempt.engine);
-        if (drained != null && attempt.arrivedAt > drained) {
-            broken.add(attempt.id + ": at a draining engine " + (attempt.arrivedAt - drained) / 1_000_000 + " ms late");
+        Long drainDeadline = drainDeadlines.get(attempt.engine);
+        if (drainDeadline != null && attempt.arrivedAt > drainDeadline) {
+            violations.add(attempt.id + ": attempted at a draining engine "
+                    + (attempt.arrivedAt - drainDeadline) / 1_000_000 + " ms late");
         }
-        long left = connections.get(attempt.id).leftAt();
-        long gone = call.cancelledAt > 0 && left > 0 ? Math.min(left, call.cancelledAt) : Math.max(left, call.cancelledAt);
-        if (gone > 0 && attempt.arrivedAt - monitor.between(gone, attempt.arrivedAt) > gone + GONE_NANOS) {
-            broken.add(attempt.id + ": begun " + (attempt.arrivedAt - gone) / 1_000_000 + " ms after its client had gone, stalled "
-                    + monitor.between(gone, attempt.arrivedAt) / 1_000_000);
+        long outputClosedAt = connectionsById.get(attempt.id).outputClosedAt();
+        // The earlier of the two times, or the one that is set; 0 if neither is.
+        long abandonedAt = call.cancelledAt > 0 && outputClosedAt > 0
+                ? Math.min(outputClosedAt, call.cancelledAt) : Math.max(outputClosedAt, call.cancelledAt);
+        if (abandonedAt > 0 && attempt.arrivedAt - stallMonitor.stalledNanos(abandonedAt, attempt.arrivedAt)
+                > abandonedAt + ABANDONED_TOLERANCE_NANOS) {
+            violations.add(attempt.id + ": attempt started " + (attempt.arrivedAt - abandonedAt) / 1_000_000
+                    + " ms after its client had gone or cancelled it, of which stalled ms: "
+                    + stallMonitor.stalledNanos(abandonedAt, attempt.arrivedAt) / 1_000_000);
         }
         if (call.writtenAt > 0) {
-            long passed = attempt.arrivedAt - call.writtenAt - monitor.between(call.writtenAt, attempt.arrivedAt);
-            long leftMs = call.ttlMs - passed / 1_000_000;
-            if (attempt.maxMs > leftMs + DEADLINE_SLACK_MS) {
-                broken.add(attempt.id + ": max " + attempt.maxMs + " ms with " + leftMs + " ms left");
+            long elapsedNanos = attempt.arrivedAt - call.writtenAt
+                    - stallMonitor.stalledNanos(call.writtenAt, attempt.arrivedAt);
+            long remainingMillis = call.timeoutMillis - elapsedNanos / 1_000_000;
+            if (attempt.timeLimitMillis > remainingMillis + DEADLINE_TOLERANCE_MILLIS) {
+                violations.add(attempt.id + ": time limit " + attempt.timeLimitMillis + " ms, time to the deadline "
+                        + remainingMillis + " ms");
             }
         }
     }
 
-    /** A request that is unsafe to repeat is sent again only where the attempt before surely never ran. */
-    private void checkUnsafe(List<String> broken) {
-        Map<String, Attempt> before = new HashMap<>();
+    /** Checks that a request that is unsafe to repeat is retried only if the previous attempt certainly never ran. */
+    private void checkUnsafeRequests(List<String> violations) {
+        Map<String, Attempt> previousAttempts = new HashMap<>();
         for (Attempt attempt : attempts) {
-            Attempt earlier = attempt.profile.equals("once") ? before.put(attempt.id, attempt) : null;
-            if (earlier != null && !earlier.neverRan) {
-                broken.add(attempt.id + ": sent again though it may have run");
+            Attempt previous = attempt.profile.equals("once") ? previousAttempts.put(attempt.id, attempt) : null;
+            if (previous != null && !previous.neverRan) {
+                violations.add(attempt.id + ": retried although the previous attempt may have run");
             }
         }
     }
 
-    /** Attempts of two requests with one key never overlap. */
-    private void checkOrder(List<String> broken) {
+    /** Checks that attempts of different requests with the same ordering key never overlap. */
+    private void checkOrderingKeys(List<String> violations) {
         Map<String, List<Attempt>> byKey = new HashMap<>();
         for (Attempt attempt : attempts) {
-            Call call = calls.get(attempt.id);
-            if (call == null || call.key == null) {
+            Call call = callsById.get(attempt.id);
+            if (call == null || call.orderingKey == null) {
                 continue;
             }
-            List<Attempt> earlier = byKey.computeIfAbsent(call.key, key -> new ArrayList<>());
-            for (Attempt other : earlier) {
-                boolean running = other.endedAt == 0 || other.endedAt > attempt.arrivedAt;
-                boolean over = timeIsUp(other, attempt.arrivedAt);
-                if (!other.id.equals(attempt.id) && running && !over) {
-                    broken.add(attempt.id + ": begun while " + other.id + " of its key was out");
+            List<Attempt> earlierAttempts = byKey.computeIfAbsent(call.orderingKey, key -> new ArrayList<>());
+            for (Attempt other : earlierAttempts) {
+                boolean stillRunning = other.endedAt == 0 || other.endedAt > attempt.arrivedAt;
+                boolean timedOut = isPastTimeLimit(other, attempt.arrivedAt);
+                if (!other.id.equals(attempt.id) && stillRunning && !timedOut) {
+                    violations.add(attempt.id + ": attempt started while " + other.id
+                            + " with the same ordering key was running");
                 }
             }
-            earlier.add(attempt);
+            earlierAttempts.add(attempt);
         }
     }
 
-    /** Whether the time that the engine was given has passed: the manager has given it up by then. */
-    private static boolean timeIsUp(Attempt attempt, long at) {
-        return at > attempt.arrivedAt + TimeUnit.MILLISECONDS.toNanos(attempt.maxMs - GIVEN_UP_SLACK_MS);
+    /** Returns whether the attempt's time limit has passed, so that the manager has given the attempt up. */
+    private static boolean isPastTimeLimit(Attempt attempt, long timeNanos) {
+        return timeNanos > attempt.arrivedAt
+                + TimeUnit.MILLISECONDS.toNanos(attempt.timeLimitMillis - GIVE_UP_TOLERANCE_MILLIS);
     }
 }
--- a/src/test/java/cairnline/program/SoakRun.java
+++ b/src/test/java/cairnline/program/SoakRun.java
@@ -14,22 +14,24 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One seed of the fault soak: workload managers as processes, engines behind fault proxies, clients that misbehave, a feed
- * that is lost, signals in series, on every third seed a crowd, and on every second one system calls that fail and a wall
- * clock that is stepped. Gives the rules that the records of both sides break.
+ * One run of the fault soak, determined by its seed. Workload managers run as processes between misbehaving clients and
+ * engines behind fault proxies; the control feed goes offline, and SIGHUP is sent in quick succession. Every third seed also
+ * opens floods of idle connections; every second one makes system calls fail and steps the wall clock. At the end, the
+ * records of clients and engines are checked against the rules of the service.
  */
 final class SoakRun {
-    private static final int ENGINES = 4;
-    private static final int MANAGERS = 2;
-    private static final int CLIENTS = 6;
-    private static final int STEPS = 30;
-    private static final int STEP_MS = 100;
-    private static final int CROWD = 400;
-    private static final int SOCKETS = 256;
-    private static final long READY_S = 30;
-    private static final long EXIT_S = 20;
-    private static final long EARLIEST_KILL_MS = 3_700;
-    private static final long DRAIN_NANOS = TimeUnit.MILLISECONDS.toNanos(1_050);
+    private static final int ENGINE_COUNT = 4;
+    private static final int MANAGER_COUNT = 2;
+    private static final int CLIENTS_PER_MANAGER = 6;
+    private static final int STEP_COUNT = 30;
+    private static final int STEP_MILLIS = 100;
+    private static final int CONNECTIONS_PER_FLOOD = 400;
+    private static final int MAX_DESCRIPTORS = 256;
+    private static final long READY_TIMEOUT_SECONDS = 30;
+    private static final long EXIT_TIMEOUT_SECONDS = 20;
+    private static final long EARLIEST_KILL_MILLIS = 3_700;
+    /** How long after the announcement attempts may still arrive at a draining engine. */
+    private static final long DRAIN_GRACE_NANOS = TimeUnit.MILLISECONDS.toNanos(1_050);
 
     private final long seed;
     private final Random random;
@@ -38,11 +40,12 @@
     private final List<FaultProxy> proxies = new ArrayList<>();
     private final List<ManagerProcess> managers = new ArrayList<>();
     private final List<SoakClient> clients = new ArrayList<>();
-    private final List<Thread> threads = new ArrayList<>();
-    private final List<Socket> crowd = new ArrayList<>();
-    private final Map<String, Long> drainedAt = new HashMap<>();
-    private final List<String> broken = new ArrayList<>();
-    private final StallMonitor monitor = new StallMonitor();
+    private final List<Thread> clientThreads = new ArrayList<>();
+    private final List<Socket> idleConnections = new ArrayList<>();
+    /** By draining engine: the {@link System#nanoTime} after which no attempt may arrive there. */
+    private final Map<String, Long> drainDeadlines = new HashMap<>();
+    private final List<String> violations = new ArrayList<>();
+    private final StallMonitor stallMonitor = new StallMonitor();
     private StandInFeed feed;
 
     SoakRun(long seed, Path folder) {
@@ -51,115 +54,126 @@
         this.folder = folder;
     }
 
-    /** Plays the seed; gives what was broken. */
-    List<String> play() throws Exception {
+    /** Performs the run and returns a line for each violated rule. */
+    List<String> run() throws Exception {
         try {
-            start();
-            for (int step = 0; step < STEPS; step++) {
-                disturb(step);
-                TimeUnit.MILLISECONDS.sleep(STEP_MS);
+            startAll();
+            for (int step = 0; step < STEP_COUNT; step++) {
+                injectFault(step);
+                TimeUnit.MILLISECONDS.sleep(STEP_MILLIS);
             }
-            terminate();
-            new SoakInvariants(engines, clients, drainedAt, !crowd.isEmpty(), monitor).check(broken);
+            terminateManagers();
+            new SoakInvariants(engines, clients, drainDeadlines, !idleConnections.isEmpty(), stallMonitor).check(violations);
         } finally {
-            end();
+            closeAll();
         }
-        return broken;
+        return violations;
     }
 
-    private void start() throws Exception {
-        for (int i = 0; i < MANAGERS; i++) {
+    private void startAll() throws Exception {
+        for (int i = 0; i < MANAGER_COUNT; i++) {
             Files.deleteIfExists(folder.resolve("m" + i).resolve("log"));
         }
         feed = new StandInFeed();
-        for (int i = 0; i < ENGINES; i++) {
-            engines.add(new RecordingEngine("s-" + i, seed * ENGINES + i));
+        for (int i = 0; i < ENGINE_COUNT; i++) {
+            engines.add(new RecordingEngine("s-" + i, seed * ENGINE_COUNT + i));
             proxies.add(new FaultProxy(engines.get(i).port()));
         }
-        feed.publish(true, List.of(host(0, "in_service"), host(1, "in_service"), host(2, "in_service"), host(3, "in_service")));
-        for (int i = 0; i < MANAGERS; i++) {
-            ManagerProcess manager = new ManagerProcess(folder.resolve("m" + i), i, MANAGERS, feed.address(), null,
-                    "{\"n\": 0, \"events\": []}", SOCKETS);
+        feed.publish(true, List.of(engineEntry(0, "in_service"), engineEntry(1, "in_service"),
+                engineEntry(2, "in_service"), engineEntry(3, "in_service")));
+        for (int i = 0; i < MANAGER_COUNT; i++) {
+            ManagerProcess manager = new ManagerProcess(folder.resolve("m" + i), i, MANAGER_COUNT, feed.address(), null,
+                    "{\"n\": 0, \"events\": []}", MAX_DESCRIPTORS);
             managers.add(manager);
-            manager.start(seed % 2 == 0 ? FaultShim.prefix(seed + i) : new String[0]);
+            manager.start(seed % 2 == 0 ? FaultShim.commandPrefix(seed + i) : new String[0]);
         }
         for (ManagerProcess manager : managers) {
-            ReadinessCheck.await(manager.port(), READY_S);
-            for (int i = 0; i < CLIENTS; i++) {
+            ReadinessCheck.await(manager.port(), READY_TIMEOUT_SECONDS);
+            for (int i = 0; i < CLIENTS_PER_MANAGER; i++) {
                 SoakClient client = new SoakClient(random.nextLong(), manager.port(), clients.size());
                 clients.add(client);
                 Thread thread = new Thread(null, client, "soak client", 256 * 1_024);
                 thread.setDaemon(true);
-                threads.add(thread);
+                clientThreads.add(thread);
                 thread.start();
             }
         }
     }
 
-    private StandInFeed.EngineEntry host(int engine, String health) {
+    private StandInFeed.EngineEntry engineEntry(int engine, String health) {
         return new StandInFeed.EngineEntry("s-" + engine, proxies.get(engine).address(), health, 0);
     }
 
-    private void disturb(int step) throws Exception {
-        int engine = random.nextInt(ENGINES);
+    private void injectFault(int step) throws Exception {
+        int engine = random.nextInt(ENGINE_COUNT);
         int draw = random.nextInt(12);
         switch (draw) {
             case 0 -> proxies.get(engine).resetAll();
-            case 1 -> engines.get(engine).hang(random.nextBoolean());
-            case 2 -> hideOrShow();
-            case 3 -> signal(managers.get(random.nextInt(MANAGERS)));
-            case 4 -> drainOne();
-            case 5 -> crowd(step);
+            case 1 -> engines.get(engine).setHanging(random.nextBoolean());
+            case 2 -> toggleFeed();
+            case 3 -> reloadTwice(managers.get(random.nextInt(MANAGER_COUNT)));
+            case 4 -> drainFirstEngine();
+            case 5 -> openIdleConnections(step);
             default -> {
                 FaultProxy.Fault[] faults = FaultProxy.Fault.values();
-                proxies.get(engine).set(random.nextBoolean() ? FaultProxy.Fault.NONE : faults[random.nextInt(faults.length)]);
+                proxies.get(engine).setFault(random.nextBoolean()
+                        ? FaultProxy.Fault.NONE : faults[random.nextInt(faults.length)]);
             }
         }
     }
 
-    private boolean hidden;
+    private boolean feedOffline;
 
-    private void hideOrShow() throws IOException {
-        if (hidden) {
+    /** Takes the control feed offline, or online again. */
+    private void toggleFeed() throws IOException {
+        if (feedOffline) {
             feed.goOnline();
         } else {
             feed.goOffline();
         }
-        hidden = !hidden;
+        feedOffline = !feedOffline;
     }
 
-    private void signal(ManagerProcess manager) throws Exception {
-        boolean spoilt = random.nextBoolean();
-        manager.reload(spoilt);
+    /** Sends SIGHUP twice in succession, the first time possibly with a malformed configuration file. */
+    private void reloadTwice(ManagerProcess manager) throws Exception {
+        boolean malformed = random.nextBoolean();
+        manager.reload(malformed);
         manager.reload(false);
     }
 
-    /** Engine 0 drains, once, and stays up; it counts as told while the feed can be reached. */
-    private void drainOne() {
-        if (!hidden && drainedAt.isEmpty()) {
-            feed.publish(false, List.of(host(0, "terminating")));
-            drainedAt.put("s-0", System.nanoTime() + DRAIN_NANOS);
+    /**
+     * Announces once that engine 0 is draining; the engine keeps running. Only while the feed is online, since otherwise the
+     * managers would not receive the announcement in time.
+     */
+    private void drainFirstEngine() {
+        if (!feedOffline && drainDeadlines.isEmpty()) {
+            feed.publish(false, List.of(engineEntry(0, "terminating")));
+            drainDeadlines.put("s-0", System.nanoTime() + DRAIN_GRACE_NANOS);
         }
     }
 
-    private void crowd(int step) throws IOException {
+    /** Floods a manager with connections that send nothing or a single byte. */
+    private void openIdleConnections(int step) throws IOException {
         if (seed % 3 != 0 || step < 3) {
             return;
         }
-        ManagerProcess manager = managers.get(random.nextInt(MANAGERS));
-        for (int i = 0; i < CROWD; i++) {
-            Socket idle = new Socket(InetAddress.getByName("127.0.0.1"), manager.port());
-            crowd.add(idle);
+        ManagerProcess manager = managers.get(random.nextInt(MANAGER_COUNT));
+        for (int i = 0; i < CONNECTIONS_PER_FLOOD; i++) {
+            Socket connection = new Socket(InetAddress.getByName("127.0.0.1"), manager.port());
+            idleConnections.add(connection);
             if (random.nextBoolean()) {
-                idle.getOutputStream().write(0);
+                connection.getOutputStream().write(0);
             }
         }
     }
 
-    /** Each is told to end, some twice and with another configuration beside it, and is killed as early as may be. */
-    private void terminate() throws Exception {
+    /**
+     * Sends SIGTERM to each manager, to some a second one and a SIGHUP, and SIGKILL at the earliest time that the rules of the
+     * service allow. An exit code of 137 means that the SIGKILL took effect.
+     */
+    private void terminateManagers() throws Exception {
         for (ManagerProcess manager : managers) {
-            checkDescriptors(manager);
+            checkDescriptorCount(manager);
         }
         for (ManagerProcess manager : managers) {
             manager.terminate();
@@ -167,31 +181,31 @@
                 manager.terminate();
                 manager.reload(random.nextBoolean());
             }
-            manager.killAfter(EARLIEST_KILL_MS);
+            manager.killAfter(EARLIEST_KILL_MILLIS);
         }
         clients.forEach(SoakClient::stop);
         for (ManagerProcess manager : managers) {
-            int code = manager.awaitExit(EXIT_S);
-            if (code != 0 && code != 137) {
-                broken.add("a workload manager ended with " + code + ": " + manager.readLog());
+            int exitCode = manager.awaitExit(EXIT_TIMEOUT_SECONDS);
+            if (exitCode != 0 && exitCode != 137) {
+                violations.add("a workload manager exited with code " + exitCode + ": " + manager.readLog());
             }
         }
-        for (Thread thread : threads) {
-            thread.join(TimeUnit.SECONDS.toMillis(EXIT_S));
+        for (Thread thread : clientThreads) {
+            thread.join(TimeUnit.SECONDS.toMillis(EXIT_TIMEOUT_SECONDS));
         }
     }
 
-    private void checkDescriptors(ManagerProcess manager) throws IOException {
-        try (var open = Files.list(Path.of("/proc", Long.toString(manager.pid()), "fd"))) {
-            long count = open.count();
-            if (count > SOCKETS) {
-                broken.add(count + " descriptors of " + SOCKETS);
+    private void checkDescriptorCount(ManagerProcess manager) throws IOException {
+        try (var descriptors = Files.list(Path.of("/proc", Long.toString(manager.pid()), "fd"))) {
+            long count = descriptors.count();
+            if (count > MAX_DESCRIPTORS) {
+                violations.add(count + " open descriptors, limit " + MAX_DESCRIPTORS);
             }
         }
     }
 
-    private void end() throws IOException {
-        monitor.close();
+    private void closeAll() throws IOException {
+        stallMonitor.close();
         managers.forEach(ManagerProcess::close);
         for (SoakClient client : clients) {
             client.stop();
@@ -199,8 +213,8 @@
                 connection.close();
             }
         }
-        for (Socket each : crowd) {
-            each.close();
+        for (Socket connection : idleConnections) {
+            connection.close();
         }
         for (FaultProxy proxy : proxies) {
             proxy.close();
@@ -208,7 +222,7 @@
         for (RecordingEngine engine : engines) {
             engine.close();
         }
-        if (!hidden) {
+        if (!feedOffline) {
             feed.close();
         }
     }
--- a/src/test/java/cairnline/program/StallMonitor.java
+++ b/src/test/java/cairnline/program/StallMonitor.java
@@ -4,23 +4,26 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.TimeUnit;
 
-/** Notes when this process, which holds the stand-ins of a test, did not run: what they record then is late. */
+/**
+ * Records when this process, in which the stand-ins of a test run, was not scheduled: times that the stand-ins recorded
+ * then are too late.
+ */
 final class StallMonitor implements AutoCloseable {
-    private static final long LEAST_NANOS = TimeUnit.MILLISECONDS.toNanos(10);
+    private static final long MIN_STALL_NANOS = TimeUnit.MILLISECONDS.toNanos(10);
 
     private final List<Stall> stalls = new CopyOnWriteArrayList<>();
-    private final Thread thread = new Thread(null, this::run, "stall monitor", 256 * 1_024);
+    private final Thread thread = new Thread(null, this::recordStalls, "stall monitor", 256 * 1_024);
     private volatile boolean closed;
 
-    private record Stall(long from, long to) { }
+    private record Stall(long startNanos, long endNanos) { }
 
     StallMonitor() {
         thread.setDaemon(true);
         thread.start();
     }
 
-    private void run() {
-        long before = System.nanoTime();
+    private void recordStalls() {
+        long previous = System.nanoTime();
         while (!closed) {
             try {
                 TimeUnit.MILLISECONDS.sleep(1);
@@ -28,16 +31,17 @@
                 return;
             }
             long now = System.nanoTime();
-            if (now - before > LEAST_NANOS) {
-                stalls.add(new Stall(before, now));
+            if (now - previous > MIN_STALL_NANOS) {
+                stalls.add(new Stall(previous, now));
             }
-            before = now;
+            previous = now;
         }
     }
 
-    /** How long this process stood still between two times of {@link System#nanoTime}, in nanoseconds. */
-    long between(long from, long to) {
-        return stalls.stream().mapToLong(stall -> Math.max(0, Math.min(to, stall.to) - Math.max(from, stall.from))).sum();
+    /** Returns for how many nanoseconds this process stalled between two values of {@link System#nanoTime}. */
+    long stalledNanos(long fromNanos, long toNanos) {
+        return stalls.stream().mapToLong(stall ->
+                Math.max(0, Math.min(toNanos, stall.endNanos) - Math.max(fromNanos, stall.startNanos))).sum();
     }
 
     @Override
--- a/src/test/java/cairnline/program/TerminationTest.java
+++ b/src/test/java/cairnline/program/TerminationTest.java
@@ -20,101 +20,110 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** SIGTERM, and SIGKILL at the earliest moment that the terms of service allow. */
+/** Requests are still answered after SIGTERM, up to a SIGKILL at the earliest time that the rules of the service allow. */
 class TerminationTest {
-    private static final long LIMIT_S = 20;
-    /** The longest deadline, counted as 3 s at most, and 0.7 s more. */
-    private static final long EARLIEST_KILL_MS = 3_700;
-    private static final long SHORT_DEADLINE_MS = 500;
-    private static final long EARLIEST_KILL_SHORT_MS = SHORT_DEADLINE_MS + 700;
-    private static final long CROSSING_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
-    private static final EngineModel.EngineParameters SHAPE = new EngineModel.EngineParameters(16, 1, 1, false, 100, 1_000_000);
+    private static final long TIMEOUT_SECONDS = 20;
+    /** The longest request deadline, of which at most 3 s count, plus 0.7 s. */
+    private static final long EARLIEST_KILL_MILLIS = 3_700;
+    private static final long SHORT_DEADLINE_MILLIS = 500;
+    private static final long EARLIEST_KILL_AT_SHORT_DEADLINE_MILLIS = SHORT_DEADLINE_MILLIS + 700;
+    /** A request written this shortly before its connection closed may have crossed the close and needs no answer. */
+    private static final long CROSSING_TOLERANCE_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
+    private static final EngineModel.EngineParameters ENGINE_PARAMETERS =
+            new EngineModel.EngineParameters(16, 1, 1, false, 100, 1_000_000);
 
     @TempDir
     Path folder;
 
-    private ManagerProcess start(StandInFeed feed, String engine) throws Exception {
-        return start(feed, engine, UnaryOperator.identity());
+    private ManagerProcess start(StandInFeed feed, String engineAddress) throws Exception {
+        return start(feed, engineAddress, UnaryOperator.identity());
     }
 
-    private ManagerProcess start(StandInFeed feed, String engine, UnaryOperator<String> change) throws Exception {
-        feed.publish(true, List.of(new StandInFeed.EngineEntry("s-1", engine, "in_service", 0)));
+    private ManagerProcess start(StandInFeed feed, String engineAddress, UnaryOperator<String> configurationEdit)
+            throws Exception {
+        feed.publish(true, List.of(new StandInFeed.EngineEntry("s-1", engineAddress, "in_service", 0)));
         ManagerProcess manager = new ManagerProcess(folder, 0, 1, feed.address(), null);
-        manager.editConfiguration(change);
+        manager.editConfiguration(configurationEdit);
         manager.start();
-        ReadinessCheck.await(manager.port(), LIMIT_S);
+        ReadinessCheck.await(manager.port(), TIMEOUT_SECONDS);
         return manager;
     }
 
     @Test
-    void aRequestAtAHungEngineIsAnsweredBeforeTheEarliestKill() throws Exception {
-        try (StandInRespEngine hung = new StandInRespEngine(0, StandInRespEngine.Behavior.SILENT, SHAPE, false, Map.of());
-                StandInFeed feed = new StandInFeed(); ManagerProcess manager = start(feed, hung.address());
+    void answersRequestsAtHungEngineBeforeEarliestKill() throws Exception {
+        try (StandInRespEngine hungEngine = new StandInRespEngine(0, StandInRespEngine.Behavior.SILENT,
+                ENGINE_PARAMETERS, false, Map.of());
+                StandInFeed feed = new StandInFeed(); ManagerProcess manager = start(feed, hungEngine.address());
                 FrameClient client = new FrameClient(manager.port())) {
-            FrameClient.Call load = client.ask("load", "000000000000000a", 25_000);
-            FrameClient.Call next = client.ask("load", "000000000000000a", 25_000);
-            while (hung.acceptedConnections() == 0) {
+            FrameClient.Call firstLoad = client.send("load", "000000000000000a", 25_000);
+            FrameClient.Call nextLoad = client.send("load", "000000000000000a", 25_000);
+            while (hungEngine.acceptedConnections() == 0) {
                 TimeUnit.MILLISECONDS.sleep(1);
             }
             manager.terminate();
-            manager.killAfter(EARLIEST_KILL_MS);
-            assertNotEquals(ClientFrames.CODE_SERVED, load.code.get(LIMIT_S, TimeUnit.SECONDS));
-            assertNotEquals(ClientFrames.CODE_SERVED, next.code.get(LIMIT_S, TimeUnit.SECONDS));
-            assertEquals(0, manager.awaitExit(LIMIT_S), manager.readLog());
+            manager.killAfter(EARLIEST_KILL_MILLIS);
+            assertNotEquals(ClientFrames.CODE_SERVED, firstLoad.code.get(TIMEOUT_SECONDS, TimeUnit.SECONDS));
+            assertNotEquals(ClientFrames.CODE_SERVED, nextLoad.code.get(TIMEOUT_SECONDS, TimeUnit.SECONDS));
+            assertEquals(0, manager.awaitExit(TIMEOUT_SECONDS), manager.readLog());
         }
     }
 
     @Test
-    void requestsOnOpenConnectionsAreAnsweredUntilTheKill() throws Exception {
+    void answersRequestsOnOpenConnectionsUntilKilled() throws Exception {
         try (StandInFleet fleet = new StandInFleet(1); StandInFeed feed = new StandInFeed();
                 ManagerProcess manager = start(feed, fleet.address(0))) {
-            assertAnsweredUntilKilled(manager, EARLIEST_KILL_MS);
-            assertEquals(0, manager.awaitExit(LIMIT_S), manager.readLog());
+            assertAnsweredUntilKilled(manager, EARLIEST_KILL_MILLIS);
+            assertEquals(0, manager.awaitExit(TIMEOUT_SECONDS), manager.readLog());
         }
     }
 
     @Test
-    void requestsAreAnsweredUntilAKillThatShortDeadlinesBringForward() throws Exception {
-        try (StandInRespEngine hung = new StandInRespEngine(0, StandInRespEngine.Behavior.SILENT, SHAPE, false, Map.of());
-                StandInFeed feed = new StandInFeed(); ManagerProcess manager = start(feed, hung.address(), text ->
-                        text.replaceAll("\"deadlineNs\": \\d+", "\"deadlineNs\": " + SHORT_DEADLINE_MS * 1_000_000))) {
-            assertAnsweredUntilKilled(manager, EARLIEST_KILL_SHORT_MS);
-            manager.awaitExit(LIMIT_S);
+    void answersRequestsUntilEarlierKillAfterShortDeadlines() throws Exception {
+        try (StandInRespEngine hungEngine = new StandInRespEngine(0, StandInRespEngine.Behavior.SILENT,
+                ENGINE_PARAMETERS, false, Map.of());
+                StandInFeed feed = new StandInFeed(); ManagerProcess manager = start(feed, hungEngine.address(), text ->
+                        text.replaceAll("\"deadlineNs\": \\d+", "\"deadlineNs\": " + SHORT_DEADLINE_MILLIS * 1_000_000))) {
+            assertAnsweredUntilKilled(manager, EARLIEST_KILL_AT_SHORT_DEADLINE_MILLIS);
+            manager.awaitExit(TIMEOUT_SECONDS);
         }
     }
 
-    private static void assertAnsweredUntilKilled(ManagerProcess manager, long killMs) throws Exception {
+    /**
+     * Sends SIGTERM twice, and SIGKILL after a delay. Asserts that requests written before their connection closed are
+     * answered, and none of them twice.
+     */
+    private static void assertAnsweredUntilKilled(ManagerProcess manager, long killDelayMillis) throws Exception {
         List<FrameClient> clients = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
             clients.add(new FrameClient(manager.port()));
-            clients.get(i).ask("lookup", null, 5_000).code.get(LIMIT_S, TimeUnit.SECONDS);
+            clients.get(i).send("lookup", null, 5_000).code.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         }
         manager.terminate();
         manager.terminate();
-        manager.killAfter(killMs);
-        while (clients.stream().anyMatch(client -> !client.ended().isDone())) {
+        manager.killAfter(killDelayMillis);
+        while (clients.stream().anyMatch(client -> !client.endOfStream().isDone())) {
             for (FrameClient client : clients) {
-                askUnlessClosed(client);
+                sendUnlessClosed(client);
             }
             TimeUnit.MILLISECONDS.sleep(1);
         }
         for (FrameClient client : clients) {
-            long closed = client.ended().get();
+            long endOfStream = client.endOfStream().get();
             for (FrameClient.Call call : client.calls()) {
-                boolean crossed = call.writtenAt == 0 || call.writtenAt > closed - CROSSING_NANOS;
-                assertTrue(call.code.isDone() || crossed, () -> "not answered, written "
-                        + (closed - call.writtenAt) / 1_000 + " us before its connection ended");
-                assertFalse(call.answers > 1, "a second answer");
+                boolean crossed = call.writtenAt == 0 || call.writtenAt > endOfStream - CROSSING_TOLERANCE_NANOS;
+                assertTrue(call.code.isDone() || crossed, () -> "no answer to a request written "
+                        + (endOfStream - call.writtenAt) / 1_000 + " us before its connection closed");
+                assertFalse(call.answerCount > 1, "request answered more than once");
             }
             client.close();
         }
     }
 
-    private static void askUnlessClosed(FrameClient client) {
+    private static void sendUnlessClosed(FrameClient client) {
         try {
-            client.ask("lookup", null, 5_000);
+            client.send("lookup", null, 5_000);
         } catch (IOException e) {
-            // The connection has ended: what was not written is not owed.
+            // The connection is closed; no answer is expected to a request that was not written.
         }
     }
 }
