--- a/src/test/java/cairnline/program/EngineConnectionThreadsTest.java
+++ b/src/test/java/cairnline/program/EngineConnectionThreadsTest.java
@@ -27,56 +27,57 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Connections to engines cost no thread, whether anything is open on them or not. Each of 120 programs with one to each of 300
- * engines had 300 readers: more than the 32,768 threads of a machine, and programs failed to start, ended or hung.
+ * Connections to engines use no threads, whether requests are outstanding on them or not. Guards against one reader thread per
+ * connection: 120 processes with connections to 300 engines each exceeded the 32,768 threads of a machine, and processes failed
+ * to start, exited or hung.
  */
 class EngineConnectionThreadsTest {
-    private static final int ENGINES = 200;
-    private static final long LIMIT_S = 20;
+    private static final int ENGINE_COUNT = 200;
+    private static final long TIMEOUT_SECONDS = 20;
 
     @Test
-    void connectionsThatAreIdleHaveNoThread() throws Exception {
+    void idleConnectionsUseNoThreads() throws Exception {
         Configuration configuration = Configuration.of(Scenario.class.getResourceAsStream("/config.json").readAllBytes(),
                 null);
         Limits limits = configuration.limits();
         Clock clock = new Clock();
         LinkedBlockingQueue<Map<String, Double>> reports = new LinkedBlockingQueue<>();
-        ConnectionBudget<PooledLink.Connection> connections = new ConnectionBudget<>(ENGINES, limits.engines().idle());
-        Core core = new Core(configuration.settings(), configuration.seed(), limits, clock, line -> { },
+        ConnectionBudget<PooledLink.Connection> connectionBudget = new ConnectionBudget<>(ENGINE_COUNT, limits.engines().idle());
+        Core dispatcher = new Core(configuration.settings(), configuration.seed(), limits, clock, line -> { },
                 (engine, owner) -> null);
-        List<Socket> accepted = new ArrayList<>();
+        List<Socket> acceptedSockets = new ArrayList<>();
         try (EventLoop loop = new EventLoop("connections", limits.routing().stackBytes(), clock);
-                ServerSocket engine = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"))) {
-            InetSocketAddress address = new InetSocketAddress("127.0.0.1", engine.getLocalPort());
+                ServerSocket engineServer = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"))) {
+            InetSocketAddress address = new InetSocketAddress("127.0.0.1", engineServer.getLocalPort());
             loop.start();
-            int threads = Thread.activeCount();
+            int threadsBefore = Thread.activeCount();
             List<EngineLink> links = new ArrayList<>();
-            for (int i = 0; i < ENGINES; i++) {
-                EngineLink link = new RespLink("e" + i, address, core, limits, loop, connections, Events.NONE);
+            for (int i = 0; i < ENGINE_COUNT; i++) {
+                EngineLink link = new RespLink("e" + i, address, dispatcher, limits, loop, connectionBudget, Events.NONE);
                 links.add(link);
                 link.probe(reports::add);
-                Socket socket = engine.accept();
-                accepted.add(socket);
-                answer(socket);
-                assertNotNull(reports.poll(LIMIT_S, TimeUnit.SECONDS), "an answer to probe " + i);
+                Socket socket = engineServer.accept();
+                acceptedSockets.add(socket);
+                answerProbe(socket);
+                assertNotNull(reports.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS), "no answer to probe " + i);
             }
-            assertEquals(ENGINES, connections.size());
-            assertEquals(threads, Thread.activeCount(), "threads with a connection to each engine");
-            // They are as good as before: no further one is opened.
-            for (int i = 0; i < ENGINES; i++) {
+            assertEquals(ENGINE_COUNT, connectionBudget.size());
+            assertEquals(threadsBefore, Thread.activeCount(), "threads while connected to each engine");
+            // The connections are reused: a second probe opens no new one.
+            for (int i = 0; i < ENGINE_COUNT; i++) {
                 links.get(i).probe(reports::add);
-                answer(accepted.get(i));
-                assertNotNull(reports.poll(LIMIT_S, TimeUnit.SECONDS), "an answer to the second probe " + i);
+                answerProbe(acceptedSockets.get(i));
+                assertNotNull(reports.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS), "no answer to the second probe " + i);
             }
             links.forEach(EngineLink::close);
         } finally {
-            for (Socket socket : accepted) {
+            for (Socket socket : acceptedSockets) {
                 socket.close();
             }
         }
     }
 
-    private static void answer(Socket socket) throws IOException {
+    private static void answerProbe(Socket socket) throws IOException {
         Resp resp = new Resp(3, 1_000);
         byte[] bytes = new byte[1_000];
         List<byte[]> parts = null;
--- a/src/test/java/cairnline/program/FeedReadinessTest.java
+++ b/src/test/java/cairnline/program/FeedReadinessTest.java
@@ -24,11 +24,12 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What the configuration knows of the list is as old as a start takes, and what the control feed has counts as told:
- * nobody is ready before the feed has been asked, as far as it can be.
+ * The engine list in the configuration may be outdated when the process starts, and events that the control feed has published
+ * count as reported. So a workload manager is not ready before it has requested them, unless the feed is unreachable or does
+ * not answer in time.
  */
 class FeedReadinessTest {
-    private static final long LIMIT_S = 10;
+    private static final long TIMEOUT_SECONDS = 10;
 
     private final Clock clock = new Clock();
     private final Configuration configuration = configuration();
@@ -41,61 +42,61 @@
         }
     }
 
-    /** The program's limits, but for the time that a feed has to tell what it has. */
-    private Limits limits(long firstTold) {
-        Limits usual = configuration.limits();
-        Limits.Feed feed = new Limits.Feed(usual.feed().connect(), usual.feed().pause(), usual.feed().silence(), firstTold,
-                usual.feed().lineBytes());
-        return new Limits(usual.routing(), usual.connections(), usual.clients(), usual.engines(), feed, usual.shutdown(),
-                usual.http());
+    /** Returns the default limits with a different timeout for the feed's first report. */
+    private Limits limits(long firstReportTimeoutMicros) {
+        Limits defaults = configuration.limits();
+        Limits.Feed feed = new Limits.Feed(defaults.feed().connect(), defaults.feed().pause(), defaults.feed().silence(),
+                firstReportTimeoutMicros, defaults.feed().lineBytes());
+        return new Limits(defaults.routing(), defaults.connections(), defaults.clients(), defaults.engines(), feed,
+                defaults.shutdown(), defaults.http());
     }
 
-    /** A core that has a list and follows this feed. */
-    private Core follow(InetSocketAddress feed, Limits limits) {
-        Core core = new Core(configuration.settings(), configuration.seed(), limits, clock, line -> { },
+    /** Starts a dispatcher that has an engine list and subscribes to the feed. */
+    private Core startDispatcher(InetSocketAddress feed, Limits limits) {
+        Core dispatcher = new Core(configuration.settings(), configuration.seed(), limits, clock, line -> { },
                 (engine, owner) -> null);
-        core.awaitFeed();
-        EngineList list = new EngineList(core, limits, clock);
-        list.changed(1, true, List.of());
-        core.start();
-        list.start();
-        new FeedClient(feed, list, limits, clock, new WallClock(clock), new EventLog(EventLog.Format.TEXT, 16)).start();
-        return core;
+        dispatcher.awaitFeed();
+        EngineList listUpdates = new EngineList(dispatcher, limits, clock);
+        listUpdates.changed(1, true, List.of());
+        dispatcher.start();
+        listUpdates.start();
+        new FeedClient(feed, listUpdates, limits, clock, new WallClock(clock), new EventLog(EventLog.Format.TEXT, 16)).start();
+        return dispatcher;
     }
 
-    private static void untilReady(Core core) {
-        long limit = System.nanoTime() + TimeUnit.SECONDS.toNanos(LIMIT_S);
-        while (!core.ready()) {
-            assertTrue(System.nanoTime() < limit, "never ready");
+    private static void awaitReady(Core dispatcher) {
+        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
+        while (!dispatcher.ready()) {
+            assertTrue(System.nanoTime() < deadline, "not ready in time");
             Thread.onSpinWait();
         }
     }
 
     @Test
-    void itIsReadyOnceTheFeedHasTold() throws Exception {
+    void becomesReadyOnceFeedHasReported() throws Exception {
         try (ServerSocket feed = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
-            Core core = follow(new InetSocketAddress("127.0.0.1", feed.getLocalPort()),
+            Core dispatcher = startDispatcher(new InetSocketAddress("127.0.0.1", feed.getLocalPort()),
                     limits(TimeUnit.HOURS.toMicros(1)));
-            try (Socket follower = feed.accept()) {
-                assertFalse(core.ready(), "ready before the feed was asked");
-                new BufferedReader(new InputStreamReader(follower.getInputStream(), StandardCharsets.US_ASCII)).readLine();
-                follower.getOutputStream().write("1\n".getBytes(StandardCharsets.US_ASCII));
-                untilReady(core);
+            try (Socket subscriber = feed.accept()) {
+                assertFalse(dispatcher.ready(), "ready before the feed has answered");
+                new BufferedReader(new InputStreamReader(subscriber.getInputStream(), StandardCharsets.US_ASCII)).readLine();
+                subscriber.getOutputStream().write("1\n".getBytes(StandardCharsets.US_ASCII));
+                awaitReady(dispatcher);
             }
         }
     }
 
     @Test
-    void itIsReadyThoughTheFeedTellsNothing() throws Exception {
+    void becomesReadyIfFeedSendsNothing() throws Exception {
         try (ServerSocket feed = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
-            untilReady(follow(new InetSocketAddress("127.0.0.1", feed.getLocalPort()), configuration.limits()));
+            awaitReady(startDispatcher(new InetSocketAddress("127.0.0.1", feed.getLocalPort()), configuration.limits()));
         }
     }
 
     @Test
-    void itIsReadyThoughTheFeedCannotBeReached() throws Exception {
-        StandInFeed hidden = new StandInFeed();
-        hidden.goOffline();
-        untilReady(follow(Configuration.parseAddress("feed", hidden.address()), configuration.limits()));
+    void becomesReadyIfFeedIsUnreachable() throws Exception {
+        StandInFeed offlineFeed = new StandInFeed();
+        offlineFeed.goOffline();
+        awaitReady(startDispatcher(Configuration.parseAddress("feed", offlineFeed.address()), configuration.limits()));
     }
 }
