--- a/src/test/java/cairnline/program/TestLoop.java
+++ b/src/test/java/cairnline/program/LazyEventLoop.java
@@ -5,8 +5,8 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 
-/** The event loop of a wire, started when it is first asked for. */
-final class TestLoop implements AutoCloseable {
+/** The event loop of a protocol fixture, created and started on first use. */
+final class LazyEventLoop implements AutoCloseable {
     private EventLoop loop;
 
     synchronized EventLoop get(Configuration configuration, Clock clock) {
