--- a/src/main/java/cairnline/protocol/AccessLog.java
+++ b/src/main/java/cairnline/protocol/AccessLog.java
@@ -62,7 +62,7 @@
             }
         }
         if (length > MAX_LINE_CHARS) {
-            throw new ProtocolException("the line exceeds the limit in characters: " + MAX_LINE_CHARS);
+            throw new ProtocolException("line too long, maximum number of characters: " + MAX_LINE_CHARS);
         }
         return line.toString().stripTrailing();
     }
--- a/src/main/java/cairnline/protocol/ByteQueue.java
+++ b/src/main/java/cairnline/protocol/ByteQueue.java
@@ -32,19 +32,20 @@
     }
 
     /** Returns the unsigned byte at this offset from the front. */
-    public int at(int index) {
+    public int unsignedByte(int index) {
         return bytes[start + index] & 0xff;
     }
 
     /** Returns the unsigned big-endian 32-bit integer at this offset from the front. */
     public long unsignedInt(int index) {
-        return (long) at(index) << 24 | at(index + 1) << 16 | at(index + 2) << 8 | at(index + 3);
+        return (long) unsignedByte(index) << 24 | unsignedByte(index + 1) << 16 | unsignedByte(index + 2) << 8
+                | unsignedByte(index + 3);
     }
 
     /** Returns the offset of the first occurrence of this byte at or after {@code from}, or -1. */
     public int indexOf(int value, int from) {
         for (int i = from; i < size(); i++) {
-            if (at(i) == value) {
+            if (unsignedByte(i) == value) {
                 return i;
             }
         }
--- a/src/main/java/cairnline/protocol/ClientFrames.java
+++ b/src/main/java/cairnline/protocol/ClientFrames.java
@@ -8,6 +8,7 @@
 
 /** Incremental decoder and encoders of the binary frame protocol of clients. Not thread-safe. */
 public final class ClientFrames {
+    /* Frame types. */
     public static final int REQUEST = 0;
     public static final int ANSWER = 1;
     /** Sent by a client that no longer wants the answer on a stream. */
@@ -17,6 +18,7 @@
     /** Sent to a client that must not open further streams on the connection. */
     public static final int NO_MORE_REQUESTS = 9;
 
+    /* Codes of answers. */
     public static final int CODE_REFUSED = 0;
     public static final int CODE_SERVED = 1;
     public static final int CODE_FAILED = 9;
@@ -58,16 +60,17 @@
     public void dropPartialPayload() {
         if (droppedFrame == null && bytes.size() >= LENGTH_FIELD_BYTES + HEADER_BYTES) {
             droppedBytesRemaining = LENGTH_FIELD_BYTES + bytes.unsignedInt(0) - bytes.size();
-            droppedFrame = new Frame(bytes.at(LENGTH_FIELD_BYTES), bytes.unsignedInt(LENGTH_FIELD_BYTES + 1), new byte[0], true);
+            droppedFrame = new Frame(bytes.unsignedByte(LENGTH_FIELD_BYTES), bytes.unsignedInt(LENGTH_FIELD_BYTES + 1),
+                    new byte[0], true);
             bytes.skip(bytes.size());
         }
     }
 
     /** Returns the stream of an incomplete request, or 0 if there is none or its stream has not been received yet. */
     public long partialRequestStream() {
-        boolean known = droppedFrame == null && bytes.size() >= LENGTH_FIELD_BYTES + HEADER_BYTES
-                && bytes.at(LENGTH_FIELD_BYTES) == REQUEST;
-        return known ? bytes.unsignedInt(LENGTH_FIELD_BYTES + 1) : 0;
+        boolean streamReceived = droppedFrame == null && bytes.size() >= LENGTH_FIELD_BYTES + HEADER_BYTES
+                && bytes.unsignedByte(LENGTH_FIELD_BYTES) == REQUEST;
+        return streamReceived ? bytes.unsignedInt(LENGTH_FIELD_BYTES + 1) : 0;
     }
 
     /** Returns the next complete frame, or null if it has not been received completely. */
@@ -86,7 +89,7 @@
             return null;
         }
         bytes.skip(LENGTH_FIELD_BYTES);
-        int type = bytes.at(0);
+        int type = bytes.unsignedByte(0);
         long stream = bytes.unsignedInt(1);
         bytes.skip(HEADER_BYTES);
         return new Frame(type, stream, bytes.take((int) length - HEADER_BYTES), false);
--- a/src/main/java/cairnline/protocol/EngineMessage.java
+++ b/src/main/java/cairnline/protocol/EngineMessage.java
@@ -14,7 +14,10 @@
     private static final double FIELD_VALUE_LIMIT = 1e12;
     private static final double MICROS_PER_MILLI = 1_000;
 
-    /** Kinds of messages. */
+    /**
+     * Kinds of messages: OK carries the first page of a result and PAGE a further one; FULL means that the engine has no room,
+     * ERROR that the query failed, STALE that it was not executed; STATUS reports on a running query, PROBE on the load.
+     */
     public enum Kind { OK, FULL, ERROR, STALE, STATUS, PAGE, PROBE }
 
     /** Parses the parts of a message; throws {@link ProtocolException} if they are malformed. */
--- a/src/main/java/cairnline/protocol/FeedEvent.java
+++ b/src/main/java/cairnline/protocol/FeedEvent.java
@@ -20,7 +20,7 @@
      * An entry of the engine list as the feed reports it.
      *
      * @param kind machine type; empty if unknown
-     * @param cell number of the cell to which the engine belongs; an idempotency key may hold within one cell only
+     * @param cell number of the cell to which the engine belongs; engines may recognise an idempotency key only within one cell
      * @param weight size of the engine relative to others
      * @param startedAtMillis start time in Unix milliseconds; 0 if unknown
      */
--- a/src/main/java/cairnline/protocol/HttpDecoder.java
+++ b/src/main/java/cairnline/protocol/HttpDecoder.java
@@ -107,10 +107,10 @@
         if (end < 0) {
             return null;
         }
-        int textEnd = end > from && bytes.at(end - 1) == '\r' ? end - 1 : end;
+        int textEnd = end > from && bytes.unsignedByte(end - 1) == '\r' ? end - 1 : end;
         byte[] text = new byte[textEnd - from];
         for (int i = 0; i < text.length; i++) {
-            text[i] = (byte) bytes.at(from + i);
+            text[i] = (byte) bytes.unsignedByte(from + i);
         }
         return new String(text, StandardCharsets.UTF_8);
     }
--- a/src/main/java/cairnline/protocol/ODataModel.java
+++ b/src/main/java/cairnline/protocol/ODataModel.java
@@ -9,7 +9,7 @@
 /** The entity sets that the OData front serves, by name, and the service and metadata documents that describe them. */
 public record ODataModel(Map<String, EntitySet> sets) {
     /** Content type of the service document and of error responses. */
-    public static final String JSON = "application/json;odata.metadata=minimal";
+    public static final String JSON_CONTENT_TYPE = "application/json;odata.metadata=minimal";
     private static final String NAMESPACE = "Cairnline";
 
     /**
@@ -91,6 +91,6 @@
         Map<String, Object> error = new LinkedHashMap<>();
         error.put("code", HttpMessage.reasonPhrase(status).replace(" ", ""));
         error.put("message", problem);
-        return HttpMessage.response(status, JSON, Json.write(Map.of("error", error)));
+        return HttpMessage.response(status, JSON_CONTENT_TYPE, Json.write(Map.of("error", error)));
     }
 }
--- a/src/main/java/cairnline/protocol/Resp.java
+++ b/src/main/java/cairnline/protocol/Resp.java
@@ -48,7 +48,7 @@
                 return null;
             }
             parts.add(bytes.take(partSize));
-            if (bytes.at(0) != '\r' || bytes.at(1) != '\n') {
+            if (bytes.unsignedByte(0) != '\r' || bytes.unsignedByte(1) != '\n') {
                 throw new ProtocolException("bulk string is not terminated by CR LF");
             }
             bytes.skip(2);
@@ -72,12 +72,12 @@
         if (end < 0 && bytes.size() <= MAX_NUMBER_LINE_CHARS + 2) {
             return -1;
         }
-        if (end < 3 || end > MAX_NUMBER_LINE_CHARS || bytes.at(0) != prefix || bytes.at(end - 1) != '\r') {
+        if (end < 3 || end > MAX_NUMBER_LINE_CHARS || bytes.unsignedByte(0) != prefix || bytes.unsignedByte(end - 1) != '\r') {
             throw new ProtocolException("expected " + prefix + " and a number on a line");
         }
         int value = 0;
         for (int i = 1; i < end - 1; i++) {
-            int digit = bytes.at(i) - '0';
+            int digit = bytes.unsignedByte(i) - '0';
             if (digit < 0 || digit > 9 || value > max) {
                 throw new ProtocolException("number after " + prefix + " is not in the range from 0 to " + max);
             }
--- a/src/main/java/cairnline/settings/SettingsFile.java
+++ b/src/main/java/cairnline/settings/SettingsFile.java
@@ -57,7 +57,7 @@
         return parse("defaults", new byte[0]);
     }
 
-    /** Unifies a file with a schema. A file may add definitions of its own, but not replace those of the schema. */
+    /** Unifies a file with a schema. A file may add definitions; one with the name of a schema definition is ignored. */
     static Resolved unify(Struct file, Struct schema) {
         Map<String, Expr> definitions = new LinkedHashMap<>();
         schema.fields().forEach(field -> definitions.put(field.name(), field.value()));
--- a/src/main/java/cairnline/settings/Unifier.java
+++ b/src/main/java/cairnline/settings/Unifier.java
@@ -138,7 +138,7 @@
 
     // ---- Disjunctions ----
 
-    /** Returns the matching default if there is one, otherwise the value that all matching options agree on. */
+    /** Returns the first matching default if there is one, otherwise the value that all matching options agree on. */
     private Object resolveDisjunction(String path, Disjunction disjunction, List<Expr> otherParts) {
         List<Object> matchingValues = new ArrayList<>();
         Object defaultValue = null;
--- a/src/main/java/cairnline/store/SnapshotFolder.java
+++ b/src/main/java/cairnline/store/SnapshotFolder.java
@@ -29,7 +29,7 @@
         this.log = log;
     }
 
-    /** Creates access to the snapshots in a folder, which need not exist yet. */
+    /** Creates a reader and writer of the snapshots in a folder, which need not exist yet. */
     public SnapshotFolder(Path folder, StoreSettings settings, EventSink log) {
         this(new FileSystemStorage(folder), settings, log);
     }
--- a/src/main/java/cairnline/transport/EventLoop.java
+++ b/src/main/java/cairnline/transport/EventLoop.java
@@ -98,7 +98,7 @@
 
     /**
      * Returns the earliest time at which the data of a ready channel can have arrived, provided that the channel was read
-     * empty before: the time of the previous poll, which is long ago after a long round.
+     * empty before: the time of the poll before the one that returned it, which is long ago after a long round.
      */
     long earliestArrival() {
         return earliestArrival;
@@ -153,7 +153,7 @@
         }
     }
 
-    /** Returns the time until the next timer, rounded up; 0 if one is due, {@code Long.MAX_VALUE} without timers. */
+    /** Returns the milliseconds until the next timer, rounded up; 0 if one is due, {@code Long.MAX_VALUE} without timers. */
     private long millisUntilNextTimer() {
         if (timers.isEmpty()) {
             return Long.MAX_VALUE;
--- a/src/main/java/cairnline/transport/FeedClient.java
+++ b/src/main/java/cairnline/transport/FeedClient.java
@@ -57,7 +57,7 @@
     }
 
     private void run() {
-        boolean unreachable = false;
+        boolean disconnected = false;
         InetSocketAddress currentAddress;
         do {
             Socket newSocket = new Socket();
@@ -65,15 +65,15 @@
             try (newSocket) {
                 newSocket.connect(currentAddress, (int) Clock.toMillis(limits.feed().connectTimeout()));
                 newSocket.getOutputStream().write(("SUB " + list.lastNumber() + "\n").getBytes(StandardCharsets.US_ASCII));
-                read(newSocket, unreachable);
+                read(newSocket, disconnected);
             } catch (IOException | RuntimeException e) {
                 // Unexpected exceptions too: if this thread ended, the engine list would never be updated again.
-                if (!unreachable) {
-                    log.warn("feed.lost", "control feed unreachable: " + e.getMessage(), "address", currentAddress);
+                if (!disconnected) {
+                    log.warn("feed.lost", "control feed connection failed: " + e.getMessage(), "address", currentAddress);
                 }
             }
             reportFirstRead();
-            unreachable = true;
+            disconnected = true;
         } while (awaitReconnect(currentAddress));
     }
 
@@ -104,11 +104,11 @@
         }
     }
 
-    private void read(Socket source, boolean wasUnreachable) throws IOException {
+    private void read(Socket source, boolean wasDisconnected) throws IOException {
         ByteQueue bytes = new ByteQueue();
         byte[] buffer = new byte[READ_BUFFER_BYTES];
         int scannedBytes = 0;
-        if (wasUnreachable) {
+        if (wasDisconnected) {
             log.info("feed.reached", "control feed connected again");
         }
         long deadline = clock.micros() + limits.feed().silenceTimeout();
--- a/src/main/java/cairnline/transport/ODataFront.java
+++ b/src/main/java/cairnline/transport/ODataFront.java
@@ -13,8 +13,8 @@
     private final Map<String, Long> timeouts;
 
     /**
-     * Creates a server at this listener. {@code timeouts} holds, by request class, how long clients wait that state no timeout
-     * of their own, in microseconds.
+     * Creates a server at this listener. {@code timeouts} holds, by request class, the timeout in microseconds of clients that
+     * state none.
      */
     public ODataFront(Listener listener, Dispatcher dispatcher, ODataModel model, Map<String, Long> timeouts, Limits limits,
                       EventSink log) {
--- a/src/main/java/cairnline/transport/ODataSession.java
+++ b/src/main/java/cairnline/transport/ODataSession.java
@@ -230,7 +230,7 @@
         });
     }
 
-    /** Passes a call to the dispatcher, or refuses it if the client has closed its output. */
+    /** Passes a call to the dispatcher, or refuses it if the client closed its output {@link #DETACH_DELAY_MICROS} ago. */
     void startCall(ODataCall call) {
         if (detached) {
             call.refuse("the client sends no more");
@@ -296,7 +296,7 @@
             throw new ODataException(405, path + " does not serve " + request.method());
         }
         if (isServiceDocument) {
-            return HttpMessage.response(200, ODataModel.JSON, front.model().serviceDocument());
+            return HttpMessage.response(200, ODataModel.JSON_CONTENT_TYPE, front.model().serviceDocument());
         }
         boolean isJson = request.target().contains("$format=json") || request.target().contains("%24format=json")
                 || request.header("accept").startsWith("application/json");
--- a/src/main/java/cairnline/transport/StandInEngine.java
+++ b/src/main/java/cairnline/transport/StandInEngine.java
@@ -73,7 +73,7 @@
                 decoder.feed(bytes, count);
                 for (HttpMessage request = decoder.next(); request != null; request = decoder.next()) {
                     HttpMessage answer = request.method().equals("GET")
-                            ? HttpMessage.response(200, ODataModel.JSON, FIXED_ANSWER)
+                            ? HttpMessage.response(200, ODataModel.JSON_CONTENT_TYPE, FIXED_ANSWER)
                             : HttpMessage.response(204, Map.of(), new byte[0]);
                     connection.send(answer.encode());
                 }
--- a/src/test/java/cairnline/logs/EventLogTest.java
+++ b/src/test/java/cairnline/logs/EventLogTest.java
@@ -10,6 +10,7 @@
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
 
+/** Tests the format of log events, and that logging never blocks its callers. */
 class EventLogTest {
     /** Returns the lines written to standard error while logging; Logback looks up {@code System.err} at each write. */
     private static List<String> linesWritten(EventLog log, Runnable logging) {
@@ -29,7 +30,7 @@
     void writesEventAsOneLineWithKeysAndValues() {
         EventLog log = new EventLog(EventLog.Format.TEXT, 16);
         log.start();
-        assertEquals(List.of("cairnline: it is so event=a.b n=5"), linesWritten(log, () -> log.info("a.b", "it is so", "n", 5)));
+        assertEquals(List.of("cairnline: message event=a.b n=5"), linesWritten(log, () -> log.info("a.b", "message", "n", 5)));
     }
 
     @Test
@@ -75,7 +76,7 @@
         } finally {
             System.setErr(standardError);
         }
-        String all = bytes.toString(StandardCharsets.UTF_8);
-        assertTrue(all.contains("event=log.dropped count=96"), all);
+        String output = bytes.toString(StandardCharsets.UTF_8);
+        assertTrue(output.contains("event=log.dropped count=96"), output);
     }
 }
--- a/src/test/java/cairnline/protocol/ClientFramesTest.java
+++ b/src/test/java/cairnline/protocol/ClientFramesTest.java
@@ -12,6 +12,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
+/** Tests the binary frame protocol of clients and the validation of its request fields. */
 class ClientFramesTest {
     private static final Map<String, String> FIELDS =
             Map.of("op", "lookup", "call", "9b1f03aa5c7e2d41", "ttl", "1500");
--- a/src/test/java/cairnline/protocol/FeedEventTest.java
+++ b/src/test/java/cairnline/protocol/FeedEventTest.java
@@ -9,6 +9,7 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
+/** Tests parsing of control feed events and the engine list that results from a sequence of them. */
 class FeedEventTest {
     private static String entry(String id, int port, String health) {
         return "{\"host\":\"" + id + "\",\"dial\":\"127.0.0.1:" + port + "\",\"health\":\"" + health + "\"}";
--- a/src/test/java/cairnline/protocol/HttpDecoderTest.java
+++ b/src/test/java/cairnline/protocol/HttpDecoderTest.java
@@ -7,12 +7,13 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
+/** Tests the HTTP/1.1 decoder and the joining of OData pages. */
 class HttpDecoderTest {
     private static HttpDecoder decoderOf(String text) {
         HttpDecoder decoder = new HttpDecoder(200, 20);
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-        for (byte each : bytes) {
-            decoder.feed(new byte[] {each}, 1);
+        for (byte next : bytes) {
+            decoder.feed(new byte[] {next}, 1);
         }
         return decoder;
     }
--- a/src/test/java/cairnline/protocol/RespTest.java
+++ b/src/test/java/cairnline/protocol/RespTest.java
@@ -11,6 +11,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
+/** Tests the RESP codec, messages from engines and the schema group of a statement. */
 class RespTest {
     private static List<String> read(Resp resp) {
         List<byte[]> parts = resp.next();
--- a/src/test/java/cairnline/protocol/UsedStreamsTest.java
+++ b/src/test/java/cairnline/protocol/UsedStreamsTest.java
@@ -10,6 +10,7 @@
 import net.jqwik.api.constraints.LongRange;
 import net.jqwik.api.constraints.Size;
 
+/** Tests that the ranges of used stream numbers behave like a plain set. */
 class UsedStreamsTest {
     @Property
     void acceptsEachNumberOnceAndNeverZero(@ForAll @Size(max = 200) List<@LongRange(min = 0, max = 60) Long> numbers) {
--- a/src/test/java/cairnline/settings/SettingsFileTest.java
+++ b/src/test/java/cairnline/settings/SettingsFileTest.java
@@ -15,6 +15,7 @@
 import net.jqwik.api.Provide;
 import org.junit.jupiter.api.Test;
 
+/** Tests the settings language, the defaults of the schema and the reported problems. */
 class SettingsFileTest {
     private static Resolved read(String text) {
         return SettingsFile.parse("f.cue", text.getBytes(StandardCharsets.UTF_8));
@@ -104,20 +105,20 @@
                     more: {[=~"^x"]: int}
                     open: {a: 1, ...}
                 }""";
-        String good = """
+        String validText = """
                 port: 80, mode: "b", ratio: 0.5, wait: 1500ms, room: 4KiB, on: true, list: [1, 2,], pair: [1, "z"]
                 any: {deep: null}, more: {x1: 1}, open: {b: 2}""";
         assertEquals("{port=80, mode=b, ratio=0.5, wait=1500ms, room=4KiB, on=true, list=[1, 2], pair=[1, z], "
-                + "any={deep=null}, more={x1=1}, open={b=2, a=1}, limit=5}", unify(schema, good).toString());
-        String[][] wrong = {{"port: 80", "port: 0", "port"}, {"port: 80", "port: 1.5", "port"},
+                + "any={deep=null}, more={x1=1}, open={b=2, a=1}, limit=5}", unify(schema, validText).toString());
+        String[][] invalidChanges = {{"port: 80", "port: 0", "port"}, {"port: 80", "port: 1.5", "port"},
             {"\"b\"", "\"d\"", "mode"}, {"0.5", "1", "ratio"}, {"1500ms", "999ms", "wait"}, {"1500ms", "2KiB", "wait"},
             {"4KiB", "1MiB", "room"}, {"true", "\"true\"", "on"}, {"[1, 2,]", "[1, 70000]", "list[1]"},
             {"[1, \"z\"]", "[1]", "pair"}, {"x1: 1", "y: 1", "more.y"}, {"x1: 1", "x1: \"\"", "more.x1"},
             {"{b: 2}", "{a: 2}", "open.a"}, {"port: 80", "port: 80, name: \"root\"", "name"},
             {"port: 80", "port: 80, name: \"A\"", "name"}, {"port: 80", "", "port"}, {"port: 80", "port: {}", "port"},
             {"[1, 2,]", "5", "list"}};
-        for (String[] change : wrong) {
-            List<String> problems = problems(schema, good.replace(change[0], change[1]));
+        for (String[] change : invalidChanges) {
+            List<String> problems = problems(schema, validText.replace(change[0], change[1]));
             assertTrue(problems.size() == 1 && problems.get(0).matches("(?s).*\\.cue:\\d+:\\d+: " + change[2].replace("[", "\\[")
                     .replace(".", "\\.") + ": .*"), change[1] + " gave " + problems);
         }
--- a/src/test/java/cairnline/store/SnapshotCodecTest.java
+++ b/src/test/java/cairnline/store/SnapshotCodecTest.java
@@ -23,6 +23,7 @@
 import net.jqwik.api.Provide;
 import org.junit.jupiter.api.Test;
 
+/** Tests that snapshots survive encoding, and that damaged ones are rejected with the right cause. */
 class SnapshotCodecTest {
     static Snapshot snapshot(int engines, long savedAt) {
         List<StoredEngine> stored = new ArrayList<>();
--- a/src/test/java/cairnline/store/SnapshotFolderTest.java
+++ b/src/test/java/cairnline/store/SnapshotFolderTest.java
@@ -22,9 +22,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
+/** Tests that a complete snapshot can be loaded whatever fails: disk, process, clock or file content. */
 class SnapshotFolderTest {
-    private static final long HOUR = 3_600_000_000L;
-    private static final long NOW = 500_000 * HOUR;
+    private static final long HOUR_MICROS = 3_600_000_000L;
+    private static final long NOW_MICROS = 500_000 * HOUR_MICROS;
 
     @TempDir
     Path folder;
@@ -50,7 +51,7 @@
 
         @Override
         public List<String> listFiles() throws IOException {
-            step("names");
+            step("listFiles");
             return storage.listFiles();
         }
 
@@ -66,7 +67,7 @@
 
         @Override
         public void acquireLock() throws IOException {
-            step("own");
+            step("acquireLock");
             storage.acquireLock();
         }
 
@@ -112,7 +113,7 @@
         }
     }
 
-    private int engines(long now) {
+    private int newestEngineCount(long now) {
         Snapshot newest = openFolder().loadNewest(now);
         return newest == null ? 0 : newest.engines().size();
     }
@@ -121,10 +122,10 @@
     void keepsConfiguredGenerationsAndReadsTheNewest() throws IOException {
         SnapshotFolder snapshots = openFolder();
         for (int i = 1; i <= 7; i++) {
-            snapshots.write(bytes(i, NOW + i));
+            snapshots.write(bytes(i, NOW_MICROS + i));
         }
         assertEquals(settings.generations(), snapshotFiles().size());
-        assertEquals(7, engines(NOW));
+        assertEquals(7, newestEngineCount(NOW_MICROS));
         assertEquals(List.of(), events.events());
     }
 
@@ -132,29 +133,29 @@
     void skipsUnusableSnapshotsWithOneEventEachAndUsesTheNextOlder() throws IOException {
         SnapshotFolder snapshots = openFolder();
         for (int i = 1; i <= 4; i++) {
-            snapshots.write(bytes(i, NOW));
+            snapshots.write(bytes(i, NOW_MICROS));
         }
         List<Path> files = snapshotFiles();
         Files.write(files.get(3), new byte[] {1, 2, 3});
-        Files.write(files.get(2), Arrays.copyOf(bytes(3, NOW), 60));
-        byte[] damaged = bytes(2, NOW);
+        Files.write(files.get(2), Arrays.copyOf(bytes(3, NOW_MICROS), 60));
+        byte[] damaged = bytes(2, NOW_MICROS);
         damaged[70] ^= 1;
         Files.write(files.get(1), damaged);
-        assertEquals(1, engines(NOW));
+        assertEquals(1, newestEngineCount(NOW_MICROS));
         assertEquals(List.of("snapshot.skipped FOREIGN", "snapshot.skipped CUT", "snapshot.skipped DAMAGED"), events.events());
         Files.delete(files.get(0));
-        assertNull(openFolder().loadNewest(NOW), "without a usable snapshot the start continues");
+        assertNull(openFolder().loadNewest(NOW_MICROS), "without a usable snapshot the start continues");
     }
 
     @Test
     void skipsOversizedAndUnreadableFiles() throws IOException {
         SnapshotFolder snapshots = openFolder();
-        snapshots.write(bytes(1, NOW));
-        snapshots.write(bytes(2, NOW));
+        snapshots.write(bytes(1, NOW_MICROS));
+        snapshots.write(bytes(2, NOW_MICROS));
         Path oversized = folder.resolve("list-0000000000000009.snap");
         Files.createDirectory(folder.resolve("list-0000000000000008.snap"));
         Files.write(oversized, new byte[settings.maxFileBytes() + 1], StandardOpenOption.CREATE);
-        assertEquals(2, engines(NOW));
+        assertEquals(2, newestEngineCount(NOW_MICROS));
         assertEquals("snapshot.skipped HUGE", events.events().get(0));
         assertTrue(events.events().get(1).startsWith("snapshot.skipped UNREADABLE"), events.events().get(1));
         assertThrows(IOException.class, () -> openFolder().write(new byte[settings.maxFileBytes() + 1]));
@@ -163,28 +164,28 @@
     @Test
     void skipsSnapshotDatedTomorrowButNotAfterClockIsSetBackAnHour() throws IOException {
         SnapshotFolder snapshots = openFolder();
-        snapshots.write(bytes(1, NOW + HOUR));
-        snapshots.write(bytes(2, NOW + 24 * HOUR));
-        assertEquals(1, engines(NOW), "a snapshot dated an hour ahead, as after the clock was set back");
+        snapshots.write(bytes(1, NOW_MICROS + HOUR_MICROS));
+        snapshots.write(bytes(2, NOW_MICROS + 24 * HOUR_MICROS));
+        assertEquals(1, newestEngineCount(NOW_MICROS), "a snapshot dated an hour ahead, as after the clock was set back");
         assertEquals(List.of("snapshot.skipped FUTURE_DATED"), events.events());
         // A snapshot written later is newer by its number, whatever its date.
-        snapshots.write(bytes(3, NOW));
-        assertEquals(3, engines(NOW));
+        snapshots.write(bytes(3, NOW_MICROS));
+        assertEquals(3, newestEngineCount(NOW_MICROS));
     }
 
     @Test
     void failureAtAnyStepLeavesOldOrNewSnapshotIntact() throws IOException {
-        openFolder().write(bytes(1, NOW));
+        openFolder().write(bytes(1, NOW_MICROS));
         int failed = 0;
         for (int step = 0; step < 20; step++) {
-            int previous = engines(NOW);
+            int previous = newestEngineCount(NOW_MICROS);
             try {
                 new SnapshotFolder(new FailingStorage(new FileSystemStorage(folder), step), settings, events)
-                        .write(bytes(previous + 1, NOW));
+                        .write(bytes(previous + 1, NOW_MICROS));
             } catch (IOException e) {
                 failed++;
             }
-            int current = engines(NOW);
+            int current = newestEngineCount(NOW_MICROS);
             assertTrue(current == previous || current == previous + 1, "step " + step + ": " + previous + " became " + current);
         }
         assertTrue(failed >= 5, "too few steps failed: " + failed);
@@ -194,13 +195,13 @@
     @Test
     void createsMissingFolderAndFailsIfThePathIsAFile() throws IOException {
         SnapshotFolder missingFolder = new SnapshotFolder(folder.resolve("a/b"), settings, events);
-        assertNull(missingFolder.loadNewest(NOW));
-        missingFolder.write(bytes(1, NOW));
-        assertNotNull(missingFolder.loadNewest(NOW));
+        assertNull(missingFolder.loadNewest(NOW_MICROS));
+        missingFolder.write(bytes(1, NOW_MICROS));
+        assertNotNull(missingFolder.loadNewest(NOW_MICROS));
         Path file = Files.writeString(folder.resolve("plain"), "x");
         SnapshotFolder notAFolder = new SnapshotFolder(file, settings, events);
-        assertNull(notAFolder.loadNewest(NOW));
-        assertThrows(IOException.class, () -> notAFolder.write(bytes(1, NOW)));
+        assertNull(notAFolder.loadNewest(NOW_MICROS));
+        assertThrows(IOException.class, () -> notAFolder.write(bytes(1, NOW_MICROS)));
     }
 
     @Test
@@ -208,13 +209,13 @@
         Process other = Writer.start(folder, 1);
         try {
             Writer.awaitFirst(other);
-            IOException e = assertThrows(IOException.class, () -> openFolder().write(bytes(1, NOW)));
+            IOException e = assertThrows(IOException.class, () -> openFolder().write(bytes(1, NOW_MICROS)));
             assertTrue(e.getMessage().startsWith("another workload manager holds the lock of the snapshot folder"),
                     e.getMessage());
         } finally {
             other.destroyForcibly().waitFor();
         }
-        openFolder().write(bytes(1, NOW));
+        openFolder().write(bytes(1, NOW_MICROS));
     }
 
     /** The process is killed at arbitrary moments, as by a power failure or an operator. */
@@ -228,9 +229,9 @@
             // Spreads the kills over the duration of some dozens of writes.
             TimeUnit.MICROSECONDS.sleep(i * 1_700L % 23_000);
             writer.destroyForcibly().waitFor();
-            Snapshot newest = openFolder().loadNewest(NOW);
+            Snapshot newest = openFolder().loadNewest(NOW_MICROS);
             assertNotNull(newest, "run " + i);
-            int generation = (int) (newest.savedAt() - NOW + HOUR);
+            int generation = (int) (newest.savedAt() - NOW_MICROS + HOUR_MICROS);
             assertEquals(SnapshotCodecTest.snapshot(200 + generation % 50, newest.savedAt()), newest);
             assertTrue(generation > previous, "a snapshot reported as written is lost, newest generation: " + generation);
             previous = generation;
@@ -258,7 +259,7 @@
         public static void main(String[] args) throws Exception {
             SnapshotFolder folder = new SnapshotFolder(Path.of(args[0]), StoreSettings.defaults(), new RecordingEventSink());
             for (int i = Integer.parseInt(args[1]);; i++) {
-                folder.write(bytes(200 + i % 50, NOW - HOUR + i));
+                folder.write(bytes(200 + i % 50, NOW_MICROS - HOUR_MICROS + i));
                 System.out.write('w');
                 System.out.flush();
             }
@@ -267,37 +268,38 @@
 
     private static Membership membershipWithOneEngine() {
         Membership membership = new Membership(TrustSettings.defaults(1));
-        membership.applyUpdate(NOW, true, List.of(new ListedEngine("e1", "127.0.0.1:1", EngineStatus.READY, "z", "k", 0, 1, 0)));
+        membership.applyUpdate(NOW_MICROS, true,
+                List.of(new ListedEngine("e1", "127.0.0.1:1", EngineStatus.READY, "z", "k", 0, 1, 0)));
         return membership;
     }
 
     @Test
     void retriesFailedWritesAndReportsEachCauseOnce() throws Exception {
         Path blocked = Files.writeString(folder.resolve("plain"), "x");
-        StoreSettings fastRetries = new StoreSettings(2, 1_000, 600, 1 << 20, HOUR, 1_000, 4_000);
+        StoreSettings fastRetries = new StoreSettings(2, 1_000, 600, 1 << 20, HOUR_MICROS, 1_000, 4_000);
         SnapshotWriter writer = new SnapshotWriter(new SnapshotFolder(blocked, fastRetries, events), fastRetries, events,
                 () -> System.nanoTime() / 1_000);
         writer.start();
-        writer.save(membershipWithOneEngine().view(NOW), true);
+        writer.save(membershipWithOneEngine().view(NOW_MICROS), true);
         events.await("snapshot.failed");
         Files.delete(blocked);
         events.await("snapshot.kept.again");
         assertEquals(2, events.events().size(), events.events().toString());
-        assertEquals(1, new SnapshotFolder(blocked, fastRetries, events).loadNewest(NOW).engines().size());
+        assertEquals(1, new SnapshotFolder(blocked, fastRetries, events).loadNewest(NOW_MICROS).engines().size());
     }
 
     @Test
     void newerViewReplacesPendingOne() throws Exception {
-        StoreSettings longInterval = new StoreSettings(8, 60_000_000, 600, 1 << 20, HOUR, 1_000, 4_000);
+        StoreSettings longInterval = new StoreSettings(8, 60_000_000, 600, 1 << 20, HOUR_MICROS, 1_000, 4_000);
         SnapshotWriter writer = new SnapshotWriter(new SnapshotFolder(folder, longInterval, events), longInterval, events,
                 () -> System.nanoTime() / 1_000);
         Membership membership = membershipWithOneEngine();
         writer.start();
         for (int i = 0; i < 1_000; i++) {
-            writer.save(membership.view(NOW + i), i == 0 || i == 999);
+            writer.save(membership.view(NOW_MICROS + i), i == 0 || i == 999);
         }
         writer.flush(10_000_000);
         assertTrue(snapshotFiles().size() <= 2, "written: " + snapshotFiles());
-        assertEquals(NOW + 999, openFolder().loadNewest(NOW).savedAt());
+        assertEquals(NOW_MICROS + 999, openFolder().loadNewest(NOW_MICROS).savedAt());
     }
 }
--- a/src/test/java/cairnline/store/WriteScheduleTest.java
+++ b/src/test/java/cairnline/store/WriteScheduleTest.java
@@ -8,9 +8,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** Tests the write interval, rate limit and back-off of snapshot writes. */
 class WriteScheduleTest {
     private static final long SECOND_MICROS = 1_000_000;
-    private static final long NOW = 1_000 * SECOND_MICROS;
+    private static final long NOW_MICROS = 1_000 * SECOND_MICROS;
 
     private final WriteSchedule schedule = new WriteSchedule(StoreSettings.defaults());
 
@@ -23,32 +24,32 @@
     void writesOnlyWhenRequested() {
         assertEquals(Long.MAX_VALUE, schedule.nextWriteAt());
         schedule.requestWrite(false);
-        assertTrue(schedule.nextWriteAt() <= NOW, "the first write is not delayed");
-        write(NOW);
+        assertTrue(schedule.nextWriteAt() <= NOW_MICROS, "the first write is not delayed");
+        write(NOW_MICROS);
         assertEquals(Long.MAX_VALUE, schedule.nextWriteAt());
     }
 
     @Test
     void delaysOrdinaryWritesByTheIntervalButNotUrgentOnes() {
         schedule.requestWrite(false);
-        write(NOW);
+        write(NOW_MICROS);
         schedule.requestWrite(false);
-        assertEquals(NOW + StoreSettings.defaults().writeInterval(), schedule.nextWriteAt());
+        assertEquals(NOW_MICROS + StoreSettings.defaults().writeInterval(), schedule.nextWriteAt());
         schedule.requestWrite(true);
-        assertTrue(schedule.nextWriteAt() <= NOW);
-        write(NOW + 1);
+        assertTrue(schedule.nextWriteAt() <= NOW_MICROS);
+        write(NOW_MICROS + 1);
         schedule.requestWrite(false);
-        assertEquals(NOW + 1 + StoreSettings.defaults().writeInterval(), schedule.nextWriteAt(),
+        assertEquals(NOW_MICROS + 1 + StoreSettings.defaults().writeInterval(), schedule.nextWriteAt(),
                 "the urgent request was satisfied by the previous write");
     }
 
     @Test
     void keepsUrgentRequestMadeDuringAWrite() {
         schedule.requestWrite(false);
-        schedule.writeStarted(NOW);
+        schedule.writeStarted(NOW_MICROS);
         schedule.requestWrite(true);
-        schedule.writeSucceeded(NOW);
-        assertTrue(schedule.nextWriteAt() <= NOW);
+        schedule.writeSucceeded(NOW_MICROS);
+        assertTrue(schedule.nextWriteAt() <= NOW_MICROS);
     }
 
     @Test
@@ -56,18 +57,18 @@
         int limit = StoreSettings.defaults().maxWritesPerMinute();
         for (int i = 0; i < limit; i++) {
             schedule.requestWrite(true);
-            assertTrue(schedule.nextWriteAt() <= NOW + i);
-            write(NOW + i);
+            assertTrue(schedule.nextWriteAt() <= NOW_MICROS + i);
+            write(NOW_MICROS + i);
         }
         schedule.requestWrite(true);
-        assertEquals(NOW + WriteSchedule.MINUTE_MICROS, schedule.nextWriteAt());
+        assertEquals(NOW_MICROS + WriteSchedule.MINUTE_MICROS, schedule.nextWriteAt());
     }
 
     @Test
     void backsOffExponentiallyAndReportsEachCauseOnceUntilSuccess() {
         schedule.requestWrite(true);
         List<Long> backoffSeconds = new ArrayList<>();
-        long now = NOW;
+        long now = NOW_MICROS;
         for (int i = 0; i < 8; i++) {
             schedule.writeStarted(now);
             assertEquals(i == 0, schedule.writeFailed(now, "No space left after " + i + " bytes"));
