--- a/src/main/java/cairnline/program/Configuration.java
+++ b/src/main/java/cairnline/program/Configuration.java
@@ -220,11 +220,11 @@
         if (rules.keyCooldown() == 0) {
             return settings;
         }
-        SafetyRules extended = new SafetyRules(rules.drainGrace(), rules.coldCapacity(), rules.warmUpTime(), rules.overloadMultiple(),
-                rules.overloadWindow(), rules.keyCooldown() + KEY_COOLDOWN_SLACK_NANOS, rules.retryAllowance(),
-                rules.retriesPerRequest(), rules.retryWindow());
-        return new Settings(settings.frontIndex(), settings.frontCount(), settings.zone(), settings.requestClasses(), settings.tenants(),
-                settings.machineTypes(), settings.permissions(), extended, settings.overShareWorth(),
+        SafetyRules extended = new SafetyRules(rules.drainGrace(), rules.coldCapacity(), rules.warmUpTime(),
+                rules.overloadMultiple(), rules.overloadWindow(), rules.keyCooldown() + KEY_COOLDOWN_SLACK_NANOS,
+                rules.retryAllowance(), rules.retriesPerRequest(), rules.retryWindow());
+        return new Settings(settings.frontIndex(), settings.frontCount(), settings.zone(), settings.requestClasses(),
+                settings.tenants(), settings.machineTypes(), settings.permissions(), extended, settings.overShareWorth(),
                 settings.memoryGrantCap(), settings.subscriptionRequired(), settings.statusInterval(),
                 settings.clientsMarkRetries(), settings.probeCost());
     }
--- a/src/main/java/cairnline/program/ODataConfiguration.java
+++ b/src/main/java/cairnline/program/ODataConfiguration.java
@@ -103,7 +103,8 @@
             return null;
         }
         String name = text(set, path + "." + member, member);
-        RequestClassSettings requestClass = settings.requestClasses().stream().filter(candidate -> candidate.name().equals(name)).findFirst()
+        RequestClassSettings requestClass = settings.requestClasses().stream()
+                .filter(candidate -> candidate.name().equals(name)).findFirst()
                 .orElseThrow(() -> new ConfigurationException(path + "." + member,
                         "is not one of the request classes in the settings: " + name));
         if (requestClass.retrySafety() != (write ? RetrySafety.KEYED : RetrySafety.SAFE)) {
--- a/src/test/java/cairnline/program/EngineConnectionThreadsTest.java
+++ b/src/test/java/cairnline/program/EngineConnectionThreadsTest.java
@@ -42,7 +42,8 @@
         Limits limits = configuration.limits();
         Clock clock = new Clock();
         LinkedBlockingQueue<Map<String, Double>> reports = new LinkedBlockingQueue<>();
-        ConnectionBudget<PooledLink.Connection> connectionBudget = new ConnectionBudget<>(ENGINE_COUNT, limits.engines().idleTimeout());
+        ConnectionBudget<PooledLink.Connection> connectionBudget =
+                new ConnectionBudget<>(ENGINE_COUNT, limits.engines().idleTimeout());
         Dispatcher dispatcher = new Dispatcher(configuration.settings(), configuration.seed(), limits, clock, line -> { },
                 (engine, owner) -> null);
         List<Socket> acceptedSockets = new ArrayList<>();
--- a/src/test/java/cairnline/program/FeedReadinessTest.java
+++ b/src/test/java/cairnline/program/FeedReadinessTest.java
@@ -45,7 +45,8 @@
     /** Returns the default limits with a different timeout for the feed's first report. */
     private Limits limits(long firstReportTimeoutMicros) {
         Limits defaults = configuration.limits();
-        Limits.Feed feed = new Limits.Feed(defaults.feed().connectTimeout(), defaults.feed().reconnectDelay(), defaults.feed().silenceTimeout(),
+        Limits.Feed feed = new Limits.Feed(defaults.feed().connectTimeout(), defaults.feed().reconnectDelay(),
+                defaults.feed().silenceTimeout(),
                 firstReportTimeoutMicros, defaults.feed().lineBytes());
         return new Limits(defaults.routing(), defaults.connections(), defaults.clients(), defaults.engines(), feed,
                 defaults.shutdown(), defaults.http());
